--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -16,20 +16,20 @@
 	w.server.Reload(&config)
 }
 
-// moveBus has the bus go on at its other address, which a new file names.
-func (w *World) moveBus() {
+// moveDiscovery has the bus go on at its other address, which a new file names.
+func (w *World) moveDiscovery() {
 	w.discovery.move()
 	w.reload()
 }
 
-func (w *World) silenceBus(_ Event, span time.Duration) {
+func (w *World) silenceDiscovery(_ Event, span time.Duration) {
 	w.discovery.silent = true
 	w.network.After(span, w.discovery.restore)
 }
 
-func (w *World) takeBusDown(_ Event, span time.Duration) {
+func (w *World) takeDiscoveryDown(_ Event, span time.Duration) {
 	w.discovery.endpoints[w.discovery.active].Refuse = true
-	w.discovery.breakOff()
+	w.discovery.disconnect()
 	w.network.After(span, w.discovery.restore)
 }
 
@@ -38,33 +38,33 @@
 	d.silent = false
 	d.endpoints[d.active].Refuse = false
 	for _, watch := range d.watches {
-		watch.tell(len(d.events))
+		watch.sendUpTo(len(d.events))
 	}
 }
 
-// breakOffWithinLine writes half an event before the connections end.
-func (d *discovery) breakOffWithinLine() {
+// disconnectWithinLine writes half an event before the connections end.
+func (d *discovery) disconnectWithinLine() {
 	for _, watch := range d.watches {
 		watch.conn.Write([]byte(`{"offset":`), nil)
 	}
-	d.breakOff()
+	d.disconnect()
 }
 
-// repeat writes the last events once more.
-func (d *discovery) repeat() {
+// repeatEvents writes the last events once more.
+func (d *discovery) repeatEvents() {
 	for _, watch := range d.watches {
-		for offset := max(1, watch.toldTo-2); offset <= min(watch.toldTo, len(d.events)); offset++ {
-			watch.tellAgain(offset)
+		for offset := max(1, watch.sentUpTo-2); offset <= min(watch.sentUpTo, len(d.events)); offset++ {
+			watch.sendEvent(offset)
 		}
 	}
 }
 
-// leaveGap has the next event of each connection passed over. The first one of a connection always comes: behind it
+// skipNextEvent has the next event of each connection passed over. The first one of a connection always comes: behind it
 // alone a gap can be seen.
-func (d *discovery) leaveGap() {
+func (d *discovery) skipNextEvent() {
 	for _, watch := range d.watches {
-		if watch.following && watch.toldAny {
-			watch.toldTo++
+		if watch.following && watch.sentAny {
+			watch.sentUpTo++
 			watch.gap = true
 		}
 	}
@@ -75,39 +75,39 @@
 	if m.state == healthGone {
 		return
 	}
-	w.discovery.leaveGap()
-	w.change(m, healthDraining)
+	w.discovery.skipNextEvent()
+	w.setState(m, healthDraining)
 }
 
-// forget has the bus say nothing more on the connections that it has; they stay open.
-func (d *discovery) forget() { d.watches = nil }
+// forgetWatches has the bus say nothing more on the connections that it has; they stay open.
+func (d *discovery) forgetWatches() { d.watches = nil }
 
-// change has the list tell a new state of a machine.
-func (w *World) change(m *machine, state string) {
+// setState has the list tell a new state of a machine.
+func (w *World) setState(m *machine, state string) {
 	if m.state == healthGone {
 		return
 	}
-	m.changeTo(state)
+	m.setState(state)
 	w.discovery.publish(false, m)
 }
 
-// changeTo has the machine be in a state, which the list is to tell yet.
-func (m *machine) changeTo(state string) {
-	m.change++
+// setState has the machine be in a state, which the list is to tell yet.
+func (m *machine) setState(state string) {
+	m.stateVersion++
 	m.state = state
 	if state == healthReady {
-		m.unavailableTold = 0
+		m.unavailableKnownAt = 0
 	}
 }
 
 // removeMachine ends a machine for good.
 func (w *World) removeMachine(m *machine) {
-	if m.state == healthGone || len(w.listed()) <= 2 {
+	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
 	}
 	m.stop()
 	m.endpoint.Refuse = true
-	w.change(m, healthGone)
+	w.setState(m, healthGone)
 }
 
 // restartMachine ends a machine's process and starts it again, cold.
@@ -116,21 +116,21 @@
 		return
 	}
 	m.restart()
-	w.change(m, healthReady)
+	w.setState(m, healthReady)
 }
 
 // restart ends the machine's process and starts it again.
 func (m *machine) restart() {
 	m.stop()
-	m.starts()
+	m.recordStart()
 	// What was decided before, and is sent after, counts as lost with the earlier start.
-	m.doubtUntil(m.w.now() + m.w.form.slowStart.connectTimeout)
+	m.extendUncertainty(m.w.now() + m.w.params.slowStart.connectTimeout)
 }
 
-// third are the machines of which an event names every third one, but for those that are gone.
-func (w *World) third(e Event) []*machine {
+// everyThird are the machines of which an event names every everyThird one, but for those that are gone.
+func (w *World) everyThird(e Event) []*machine {
 	var third []*machine
-	for i, m := range w.listed() {
+	for i, m := range w.listedMachines() {
 		if i%3 == int(e.Target)%3 {
 			third = append(third, m)
 		}
@@ -140,19 +140,19 @@
 
 // restartThird starts many machines anew, which the list says in one event.
 func (w *World) restartThird(e Event) {
-	third := w.third(e)
+	third := w.everyThird(e)
 	for _, m := range third {
 		m.restart()
-		m.changeTo(healthReady)
+		m.setState(healthReady)
 	}
 	w.discovery.publish(false, third...)
 }
 
 // drainThird has many machines drain, which the list says in one event.
 func (w *World) drainThird(e Event) {
-	third := w.third(e)
+	third := w.everyThird(e)
 	for _, m := range third {
-		m.changeTo(healthDraining)
+		m.setState(healthDraining)
 	}
 	w.discovery.publish(false, third...)
 }
@@ -160,33 +160,33 @@
 // makeReady ends a drain.
 func (w *World) makeReady(m *machine) {
 	if m.state == healthDraining {
-		w.change(m, healthReady)
+		w.setState(m, healthReady)
 	}
 }
 
-// leaveOut has the whole list come without a machine, which is gone by that.
-func (w *World) leaveOut(m *machine) {
-	if m.state == healthGone || len(w.listed()) <= 2 {
+// omitFromList has the whole list come without a machine, which is gone by that.
+func (w *World) omitFromList(m *machine) {
+	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
 	}
 	m.stop()
 	m.endpoint.Refuse = true
-	m.change++
+	m.stateVersion++
 	m.state = healthGone
-	w.discovery.publishWithout(m, w.listed()...)
+	w.discovery.publishWithout(m, w.listedMachines()...)
 }
 
-// succeed replaces a machine by another one at its address.
-func (w *World) succeed(m *machine) {
+// replaceMachine replaces a machine by another one at its address.
+func (w *World) replaceMachine(m *machine) {
 	if m.state == healthGone {
 		return
 	}
 	m.stop()
-	m.change++
+	m.stateVersion++
 	m.state = healthGone
 	successor := w.newMachine(fmt.Sprintf("m%02d", len(w.machines)), m.number)
 	successor.unreliable = true // it may accept what was offered to its predecessor
-	successor.starts()
+	successor.recordStart()
 	w.machines = append(w.machines, successor)
 	w.discovery.publish(false, m, successor)
 }
@@ -195,21 +195,21 @@
 func (w *World) addMachine() {
 	number := len(w.machines)
 	m := w.newMachine(fmt.Sprintf("m%02d", number), number)
-	m.starts()
+	m.recordStart()
 	w.machines = append(w.machines, m)
 	w.discovery.publish(false, m)
 }
 
-// resetOne resets a connection of the process.
-func (m *machine) resetOne() {
-	if len(m.conns) > 0 && !m.cut {
+// resetConnection resets a connection of the process.
+func (m *machine) resetConnection() {
+	if len(m.conns) > 0 && !m.partitioned {
 		m.conns[0].reset()
 	}
 }
 
-// closeOne closes a connection of the process.
-func (m *machine) closeOne() {
-	if len(m.conns) > 0 && !m.cut {
+// closeConnection closes a connection of the process.
+func (m *machine) closeConnection() {
+	if len(m.conns) > 0 && !m.partitioned {
 		conn := m.conns[0]
 		conn.close()
 		conn.conn.Close()
@@ -220,15 +220,15 @@
 // any more, nor what a process that was killed had read, nor what a client has left unread.
 func (w *World) excusePlacements() {
 	for _, m := range w.machines {
-		for _, p := range m.cutPlacements {
-			p.unknowable = true
+		for _, p := range m.stoppedPlacements {
+			p.endNotOwed = true
 		}
-		m.cutPlacements = nil
+		m.stoppedPlacements = nil
 	}
 	leftUnread := slices.ContainsFunc(w.clients, func(c *client) bool { return c.conn.Congested() })
 	for _, p := range w.knownPlacements() {
-		if leftUnread && !p.runs() || w.killed && p.releaseRead {
-			p.unknowable = true
+		if leftUnread && !p.runs() || w.killed && p.endRead {
+			p.endNotOwed = true
 		}
 	}
 }
--- a/internal/testbed/platformcheck/claimactions.go
+++ b/internal/testbed/platformcheck/claimactions.go
@@ -7,83 +7,85 @@
 	largeMemory = 40 // two such fill a machine
 )
 
-// connectLiar makes a client that makes up claims, and confirms nothing that it is told.
-func (w *World) connectLiar(lie func(*client)) {
+// connectFalseClaimer makes a client that makes up claims, and confirms nothing that it is told.
+func (w *World) connectFalseClaimer(lie func(*client)) {
 	w.withNewClient(func(c *client) {
-		c.misbehaved, c.liar = true, true
+		c.misbehaved, c.falseClaimer = true, true
 		lie(c)
 	})
 }
 
-// makeUpClaims has a client claim that many containers run at one machine.
-func (w *World) makeUpClaims(e Event) {
-	w.connectLiar(func(c *client) {
+// makeFalseClaims has a client claim that many containers run at one machine.
+func (w *World) makeFalseClaims(e Event) {
+	w.connectFalseClaimer(func(c *client) {
 		for range 1 + e.Amount>>8%40 {
-			c.makeUpClaim(w.pick(e), e.Amount)
+			c.makeFalseClaim(w.targetMachine(e), e.Amount)
 		}
 	})
 }
 
-// makeUpClaimsAnywhere has a client claim that containers run at several machines, some of which there are not.
-func (w *World) makeUpClaimsAnywhere(e Event) {
-	w.connectLiar(func(c *client) {
+// makeFalseClaimsAnywhere has a client claim that containers run at several machines, some of which there are not.
+func (w *World) makeFalseClaimsAnywhere(e Event) {
+	w.connectFalseClaimer(func(c *client) {
 		for i := range 1 + e.Amount>>8%20 {
 			if i%3 == 2 {
-				c.claim(w.madeUpRequest(c, e.Amount), fmt.Sprintf("x%02d", i), nil)
+				c.claim(w.fictitiousRequest(c, e.Amount), fmt.Sprintf("x%02d", i), nil)
 				continue
 			}
-			c.makeUpClaim(w.machines[int(e.Target+i)%len(w.machines)], e.Amount)
+			c.makeFalseClaim(w.machines[int(e.Target+i)%len(w.machines)], e.Amount)
 		}
 	})
 }
 
-// makeUpClaim claims that a container which nobody has asked for runs at a machine.
-func (c *client) makeUpClaim(m *machine, amount uint32) { c.lie(c.w.madeUpRequest(c, amount), m) }
+// makeFalseClaim claims that a container which nobody has asked for runs at a machine.
+func (c *client) makeFalseClaim(m *machine, amount uint32) {
+	c.claimFalsely(c.w.fictitiousRequest(c, amount), m)
+}
 
-// lie claims that the container of a request runs at a machine where it does not.
-func (c *client) lie(r *request, m *machine) {
-	c.claim(r, m.id, func() { m.liedIn, c.w.liedIn = c.w.incarnations, c.w.incarnations })
+// claimFalsely claims that the container of a request runs at a machine where it does not.
+func (c *client) claimFalsely(r *request, m *machine) {
+	c.claim(r, m.id, func() { m.falseClaimReadBy, c.w.falseClaimReadBy = c.w.incarnations, c.w.incarnations })
 }
 
-// madeUpRequest is one that was never sent.
-func (w *World) madeUpRequest(c *client, amount uint32) *request {
+// fictitiousRequest is one that was never sent.
+func (w *World) fictitiousRequest(c *client, amount uint32) *request {
 	r := &request{
-		call: w.newCall(), client: c, class: workloadClasses[0], service: "s0-0", memory: smallMemory,
+		id: w.newRequestID(), client: c, class: workloadClasses[0], service: "s0-0", memory: smallMemory,
 		onlyClaimed: true,
 	}
 	if amount%2 == 1 {
 		r.memory = largeMemory
 	}
-	r.key = "k" + r.call
-	w.judge.requests[r.call] = r
+	r.key = "k" + r.id
+	w.checker.requests[r.id] = r
 	return r
 }
 
 // falseClaim has one of the usual clients claim that a container runs which does not.
 func (w *World) falseClaim(e Event) {
-	w.withClient(e, func(c *client) { c.makeUpClaim(w.pick(e), 0) })
+	w.withClient(e, func(c *client) { c.makeFalseClaim(w.targetMachine(e), 0) })
 }
 
-// claimOfOthers has a client claim that what others have asked for runs at a machine.
-func (w *World) claimOfOthers(e Event) {
-	w.connectLiar(func(c *client) {
+// claimOthersRequests has a client claim that what others have asked for runs at a machine.
+func (w *World) claimOthersRequests(e Event) {
+	w.connectFalseClaimer(func(c *client) {
 		for _, r := range w.openRequests() {
-			r.liedAbout = true
-			c.lie(r, w.pick(e))
+			r.falselyClaimed = true
+			c.claimFalsely(r, w.targetMachine(e))
 		}
 	})
 }
 
-// claimOfOwn has a client claim that what it has asked for runs already, which takes the request back.
-func (w *World) claimOfOwn(e Event) {
+// claimOwnRequest has a client claim that what it has asked for runs already, which takes the request back.
+func (w *World) claimOwnRequest(e Event) {
 	w.withClient(e, func(c *client) {
 		for _, r := range c.open {
-			if r.owed() && r.sentAt != 0 {
-				r.liedAbout, r.givenUp = true, true
-				m := w.pick(e)
+			if r.awaitsAnswer() && r.sentAt != 0 {
+				r.falselyClaimed, r.cancelled = true, true
+				m := w.targetMachine(e)
 				c.claim(r, m.id, func() {
-					r.giveUpIteration = w.kernel.Iteration()
-					m.liedIn, w.liedIn = w.incarnations, w.incarnations
+					r.cancelIteration = w.kernel.Iteration()
+					m.falseClaimReadBy, w.falseClaimReadBy = w.incarnations, w.incarnations
 				})
 				return
 			}
@@ -94,8 +96,8 @@
 // openRequests are those that have no answer yet, in order.
 func (w *World) openRequests() []*request {
 	var open []*request
-	for _, call := range w.calls {
-		if r := w.judge.requests[call]; r.owed() && r.sentAt != 0 {
+	for _, call := range w.requestIDs {
+		if r := w.checker.requests[call]; r.awaitsAnswer() && r.sentAt != 0 {
 			open = append(open, r)
 		}
 	}
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -19,17 +19,17 @@
 
 // client is a client with one connection.
 type client struct {
-	w           *World
-	conn        *simnet.PeerConn
-	established bool
-	steady      bool          // it connects again whenever its connection ends
-	servedAt    time.Duration // when it first heard of the process
-	liar        bool          // it makes up claims, and confirms nothing
-	misbehaved  bool          // nothing is owed to it any more
-	unreadEnd   time.Duration // until when it leaves its input unread, at most
-	waiting     []func()      // for the connection
-	lines       lineReader
-	open        []*request
+	w             *World
+	conn          *simnet.PeerConn
+	established   bool
+	persistent    bool          // it connects again whenever its connection ends
+	servedAt      time.Duration // when it first heard of the process
+	falseClaimer  bool          // it makes up claims, and confirms nothing
+	misbehaved    bool          // nothing is owed to it any more
+	unreadEnd     time.Duration // until when it leaves its input unread, at most
+	onEstablished []func()      // for the connection
+	lines         lineReader
+	open          []*request
 }
 
 // connect makes a client and connects it.
@@ -40,18 +40,18 @@
 	return c
 }
 
-// connectSteady makes a client that stays as long as the process does.
-func (w *World) connectSteady() {
+// connectPersistent makes a client that stays as long as the process does.
+func (w *World) connectPersistent() {
 	c := w.connect()
-	c.steady = true
-	c.whenEstablished(func() { c.write(testLine(w.newCall())) })
+	c.persistent = true
+	c.whenEstablished(func() { c.write(testLine(w.newRequestID())) })
 	c.claimAll()
 }
 
 // claimAll names all that clients hold for running.
 func (c *client) claimAll() {
 	for _, p := range c.w.knownPlacements() {
-		c.claim(p.request, p.machine.id, p.claimRead)
+		c.claim(p.request, p.machine.id, p.recordClaimRead)
 	}
 }
 
@@ -60,23 +60,23 @@
 		do()
 		return
 	}
-	c.waiting = append(c.waiting, do)
+	c.onEstablished = append(c.onEstablished, do)
 }
 
 func (c *client) write(line string) { c.writeMarked(line, nil) }
 
 func (c *client) writeMarked(line string, onRead func()) {
-	c.w.note("client says %s", line)
+	c.w.tracef("client says %s", line)
 	c.conn.Write([]byte(line), onRead)
 }
 
 // Connected implements simnet.PeerHandler.
 func (c *client) Connected(*simnet.PeerConn) {
 	c.established = true
-	for _, do := range c.waiting {
+	for _, do := range c.onEstablished {
 		do()
 	}
-	c.waiting = nil
+	c.onEstablished = nil
 }
 
 // Received implements simnet.PeerHandler.
@@ -85,19 +85,19 @@
 // Ended implements simnet.PeerHandler.
 func (c *client) Ended(conn *simnet.PeerConn, _ error) {
 	conn.Close()
-	c.leave()
+	c.remove()
 	for _, r := range c.open {
 		if !c.misbehaved {
-			c.w.judge.connectionEnded(r, c.w.onItsWay())
+			c.w.checker.recordConnectionEnd(r, c.w.transitLimit())
 		}
 	}
-	if c.steady && !c.w.over {
-		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	if c.persistent && !c.w.finished {
+		c.w.network.After(reconnectDelay, c.w.connectPersistent)
 	}
 }
 
-// leave forgets the client.
-func (c *client) leave() {
+// remove forgets the client.
+func (c *client) remove() {
 	c.w.clients = slices.DeleteFunc(c.w.clients, func(other *client) bool { return other == c })
 }
 
@@ -108,52 +108,52 @@
 	c.conn.PauseReading(span)
 }
 
-// goAway ends the connection by the client; its open requests are taken back with it.
-func (c *client) goAway(end func(*simnet.PeerConn)) {
+// disconnect ends the connection by the client; its open requests are taken back with it.
+func (c *client) disconnect(end func(*simnet.PeerConn)) {
 	end(c.conn)
-	c.leave()
+	c.remove()
 	for _, r := range c.open {
 		r.excused = true
 		if r.placement != nil {
 			continue
 		}
-		r.givenUp = true
+		r.cancelled = true
 	}
-	if c.steady {
-		c.steady = false
-		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	if c.persistent {
+		c.persistent = false
+		c.w.network.After(reconnectDelay, c.w.connectPersistent)
 	}
 }
 
 // handle takes in a line of the process.
 func (c *client) handle(line receivedLine) {
-	c.w.note("client hears %s", line.text)
+	c.w.tracef("client hears %s", line.text)
 	if c.servedAt == 0 {
 		c.servedAt = c.w.now()
 	}
 	msg, err := line.decode()
 	if err != nil {
-		c.w.judge.violate(ruleAnswer, "a line to a client is garbled: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a line to a client is garbled: %s", line.text)
 		return
 	}
-	if c.liar || msg.Op == jsonlines.OpTested {
+	if c.falseClaimer || msg.Op == jsonlines.OpTested {
 		return
 	}
-	r := c.w.judge.requests[msg.RequestID]
+	r := c.w.checker.requests[msg.RequestID]
 	switch {
 	case r == nil && !c.misbehaved:
-		c.w.judge.violate(ruleAnswer, "a client is told of what nobody asked for: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client is told of what nobody asked for: %s", line.text)
 	case r == nil:
-	case r.onlyClaimed, r.isEndOfLie(msg):
-		c.write(endedLine(r.call))
+	case r.onlyClaimed, r.endsFalseClaim(msg):
+		c.write(endedLine(r.id))
 	case msg.Op == jsonlines.OpAccept:
 		c.handleAccept(r, msg, line)
 	case msg.Op == jsonlines.OpEnd && r.placement != nil:
-		c.handleRelease(r)
+		c.handleContainerEnd(r)
 	case msg.Op == jsonlines.OpEnd:
 		c.handleEnd(r, msg, line)
 	default:
-		c.w.judge.violate(ruleAnswer, "a client is sent what is not for it: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client is sent what is not for it: %s", line.text)
 	}
 }
 
@@ -161,30 +161,30 @@
 	if c.misbehaved && r.client == c {
 		return
 	}
-	c.w.judge.answered(r, accepted, line)
+	c.w.checker.recordAnswer(r, accepted, line)
 	var description string
 	if err := json.Unmarshal(msg.Description, &description); err != nil {
-		c.w.judge.violate(ruleAnswer, "the accept of request %s is no text: %v", r.call, err)
+		c.w.checker.report(ruleAnswer, "the accept of request %s is no text: %v", r.id, err)
 	}
 	for _, p := range r.placements {
 		if p.description == description {
-			r.placement, p.known, p.heldBy = p, true, c.w.incarnations
-			p.ordered = p.ordered || r.givenUp
-			p.unknowable = p.unknowable || c.conn.ClosedAt() > 0 // read late: others have named what runs by then
+			r.placement, p.acceptDelivered, p.knownBy = p, true, c.w.incarnations
+			p.cancelled = p.cancelled || r.cancelled
+			p.endNotOwed = p.endNotOwed || c.conn.ClosedAt() > 0 // read late: others have named what runs by then
 			return
 		}
 	}
-	c.w.judge.violate(ruleAnswer, "request %s has an accept that no machine made: %s", r.call, line.text)
+	c.w.checker.report(ruleAnswer, "request %s has an accept that no machine made: %s", r.id, line.text)
 }
 
-// handleRelease takes in the end of a container that ran.
-func (c *client) handleRelease(r *request) {
+// handleContainerEnd takes in the end of a container that ran.
+func (c *client) handleContainerEnd(r *request) {
 	p := r.placement
-	if p.runs() && !p.machine.unreliable && !p.ordered {
-		c.w.judge.violate(ruleRelease, "container %s is told to have ended, and runs on %s", r.call, p.machine.id)
+	if p.runs() && !p.machine.unreliable && !p.cancelled {
+		c.w.checker.report(ruleEndReport, "container %s is told to have ended, and runs on %s", r.id, p.machine.id)
 	}
-	p.told = true
-	c.write(endedLine(r.call))
+	p.endReported = true
+	c.write(endedLine(r.id))
 }
 
 func (c *client) handleEnd(r *request, msg *jsonlines.Message, line receivedLine) {
@@ -193,28 +193,28 @@
 	}
 	switch msg.CauseOrNone() {
 	case jsonlines.CauseNoCapacity, jsonlines.CauseNotSent:
-		c.w.judge.answered(r, refused, line)
+		c.w.checker.recordAnswer(r, rejected, line)
 	default:
-		c.w.judge.answered(r, failed, line)
+		c.w.checker.recordAnswer(r, failed, line)
 	}
 }
 
-// request sends a request that is to be answered within a time.
-func (c *client) request(choice uint32, left time.Duration) {
+// submit sends a submit that is to be answered within a time.
+func (c *client) submit(choice uint32, left time.Duration) {
 	w := c.w
 	class := choice % uint32(len(workloadClasses))
 	r := &request{
-		call: w.newCall(), client: c, class: workloadClasses[class], spread: w.form.spread[class], memory: smallMemory,
+		id: w.newRequestID(), client: c, class: workloadClasses[class], spread: w.params.spread[class], memory: smallMemory,
 		service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
 	}
-	r.key = "k" + r.call
+	r.key = "k" + r.id
 	r.line = r.encode(left, "")
 	c.open = append(c.open, r)
-	w.calls = append(w.calls, r.call)
-	w.judge.requests[r.call] = r
+	w.requestIDs = append(w.requestIDs, r.id)
+	w.checker.requests[r.id] = r
 	c.whenEstablished(func() {
-		if !c.conn.IsEnded() && !w.quiet() {
-			w.judge.sent(r, left)
+		if !c.conn.IsEnded() && !w.clientsQuiet() {
+			w.checker.recordRequest(r, left)
 			c.writeMarked(r.line, func() { r.readIteration = w.kernel.Iteration() })
 		} else {
 			r.excused = true
@@ -226,17 +226,17 @@
 func (r *request) encode(left time.Duration, more string) string {
 	idempotency := ""
 	if r.class.effect == effectKeyed {
-		idempotency = fmt.Sprintf(`"idem":"i%s",`, r.call)
+		idempotency = fmt.Sprintf(`"idem":"i%s",`, r.id)
 	}
 	return fmt.Sprintf(`{"op":"offer","call":%q,"with":{"class":%q,"left":"%d","tenant":"offices","key":%q,%s`+
 		`"extras":"cores:1;memory:%d;service:%s%s"},"desc":%s}`+"\n",
-		r.call, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
+		r.id, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
 }
 
 // lifetimeMillis is how long its container runs, from 0.05 to 3 s.
 func (r *request) lifetimeMillis() int64 {
 	var sum int64
-	for _, digit := range []byte(r.call) {
+	for _, digit := range []byte(r.id) {
 		sum = (sum*31 + int64(digit)) % 2950
 	}
 	return sum
@@ -247,14 +247,14 @@
 	c.whenEstablished(func() { c.writeMarked(r.encode(0, ";at:"+at), onRead) })
 }
 
-// giveUp takes the client's oldest open request back.
-func (c *client) giveUp() {
+// cancelOldest takes the client's oldest open request back.
+func (c *client) cancelOldest() {
 	for _, r := range c.open {
-		if !r.owed() || r.sentAt == 0 {
+		if !r.awaitsAnswer() || r.sentAt == 0 {
 			continue
 		}
-		r.givenUp = true
-		c.writeMarked(endLine(r.call, jsonlines.CauseNormal), func() { r.giveUpIteration = c.w.kernel.Iteration() })
+		r.cancelled = true
+		c.writeMarked(endLine(r.id, jsonlines.CauseNormal), func() { r.cancelIteration = c.w.kernel.Iteration() })
 		return
 	}
 }
--- a/internal/testbed/platformcheck/clientactions.go
+++ b/internal/testbed/platformcheck/clientactions.go
@@ -8,44 +8,44 @@
 	"glenport/internal/testbed/simnet"
 )
 
-func (w *World) clientAsks(e Event) {
-	w.withClient(e, func(c *client) { c.request(e.Amount, w.form.deadline) })
+func (w *World) clientSubmits(e Event) {
+	w.withClient(e, func(c *client) { c.submit(e.Amount, w.params.deadline) })
 }
 
-func (w *World) clientAsksOften(e Event) {
+func (w *World) clientSubmitsSeveral(e Event) {
 	for i := range 2 + e.Amount>>8%4 {
-		w.withClient(e, func(c *client) { c.request(e.Amount+i, w.form.deadline) })
+		w.withClient(e, func(c *client) { c.submit(e.Amount+i, w.params.deadline) })
 	}
 }
 
-func (w *World) newClientAsks(e Event) {
-	w.withNewClient(func(c *client) { c.request(e.Amount, w.form.deadline) })
+func (w *World) newClientSubmits(e Event) {
+	w.withNewClient(func(c *client) { c.submit(e.Amount, w.params.deadline) })
 }
 
-func (w *World) steadyClientAsks(e Event) {
+func (w *World) persistentClientSubmits(e Event) {
 	for _, c := range w.clients {
-		if c.steady {
-			c.request(e.Amount, w.form.deadline)
+		if c.persistent {
+			c.submit(e.Amount, w.params.deadline)
 			return
 		}
 	}
 }
 
-func (w *World) clientAsksAndGivesUp(e Event) {
+func (w *World) clientSubmitsAndCancels(e Event) {
 	w.withClient(e, func(c *client) {
-		c.request(e.Amount, w.form.deadline)
-		c.giveUp()
+		c.submit(e.Amount, w.params.deadline)
+		c.cancelOldest()
 	})
 }
 
-func (w *World) clientGoes(e Event, end func(*simnet.PeerConn)) {
-	w.withClient(e, func(c *client) { c.goAway(end) })
+func (w *World) clientLeaves(e Event, end func(*simnet.PeerConn)) {
+	w.withClient(e, func(c *client) { c.disconnect(end) })
 }
 
-func (w *World) clientAsksAndGoes(e Event) {
+func (w *World) clientSubmitsAndLeaves(e Event) {
 	w.withClient(e, func(c *client) {
-		c.request(e.Amount, w.form.deadline)
-		c.goAway((*simnet.PeerConn).Close)
+		c.submit(e.Amount, w.params.deadline)
+		c.disconnect((*simnet.PeerConn).Close)
 	})
 }
 
@@ -58,14 +58,14 @@
 	p := known[int(e.Amount)%len(known)]
 	w.withClient(e, func(c *client) {
 		c.whenEstablished(func() {
-			p.ordered = true
-			c.write(endLine(p.request.call, jsonlines.CauseCancelled))
+			p.cancelled = true
+			c.write(endLine(p.request.id, jsonlines.CauseCancelled))
 		})
 	})
 }
 
-// badClient connects one that does what none may; nothing is owed to it.
-func (w *World) badClient(e Event) {
+// misbehavingClient connects one that does what none may; nothing is owed to it.
+func (w *World) misbehavingClient(e Event) {
 	bad := [...]string{
 		"{\"op\":\n", `{"op":"offer","call":"`, strings.Repeat("x", jsonlines.MaxLineBytes+1),
 		`{"op":"offer","call":"00000000000000ff","with":{"class":"none"}}` + "\n", "",
@@ -87,7 +87,7 @@
 func (w *World) exhaustDescriptors(e Event, span time.Duration) {
 	kernel := w.kernel
 	kernel.Limit = kernel.OpenDescriptors() + int(e.Target%2)
-	w.network.After(span, func() { kernel.Limit = w.form.descriptors })
+	w.network.After(span, func() { kernel.Limit = w.params.descriptors })
 }
 
 // burst connects clients that say nothing.
@@ -102,7 +102,7 @@
 	size := 20 + e.Amount>>8%100
 	for i := range size {
 		if i == size/2 {
-			w.withNewClient(func(c *client) { c.request(e.Amount, w.form.deadline) })
+			w.withNewClient(func(c *client) { c.submit(e.Amount, w.params.deadline) })
 		}
 		w.connect().misbehaved = true
 	}
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	offsetInterval = time.Second             // a line with the last number comes so often
-	toldLimit      = 4500 * time.Millisecond // an event counts as told after this, whatever the bus does
-	oldBusLinger   = 1500 * time.Millisecond // an address that was left closes its connections then
+	offsetInterval   = time.Second             // a line with the last number comes so often
+	knownWithin      = 4500 * time.Millisecond // an event counts as told after this, whatever the bus does
+	oldAddressLinger = 1500 * time.Millisecond // an address that was left closes its connections then
 )
 
 // discovery is the event bus, at one of its addresses.
 type discovery struct {
 	w         *World
-	endpoints [len(busAddrs)]*simnet.Endpoint
+	endpoints [len(discoveryAddrs)]*simnet.Endpoint
 	active    int // index of the address that tells
 	events    []listEvent
 	watches   []*watch
@@ -36,7 +36,7 @@
 // change is a new state of a machine.
 type change struct {
 	machine *machine
-	number  int
+	version int
 }
 
 func (w *World) newDiscovery() *discovery {
@@ -44,12 +44,12 @@
 	for i := range d.endpoints {
 		d.endpoints[i] = &simnet.Endpoint{Accept: func() simnet.PeerHandler { return &watch{discovery: d, address: i} }}
 		d.endpoints[i].Refuse = i != d.active
-		w.network.Listen(busAddrs[i], d.endpoints[i])
+		w.network.Listen(discoveryAddrs[i], d.endpoints[i])
 	}
 	return d
 }
 
-func (d *discovery) address() netip.AddrPort { return busAddrs[d.active] }
+func (d *discovery) address() netip.AddrPort { return discoveryAddrs[d.active] }
 
 // publish numbers an event that names machines, and tells it.
 func (d *discovery) publish(whole bool, machines ...*machine) {
@@ -58,49 +58,49 @@
 
 // publishWithout is publish of a whole list by which a machine is gone that it does not name.
 func (d *discovery) publishWithout(gone *machine, machines ...*machine) {
-	d.number(listEvent{changes: []change{{gone, gone.change}}}, true, machines)
+	d.number(listEvent{changes: []change{{gone, gone.stateVersion}}}, true, machines)
 }
 
 func (d *discovery) number(event listEvent, whole bool, machines []*machine) {
 	offset := len(d.events) + 1
 	entries := make([]string, 0, len(machines))
 	for _, m := range machines {
-		entries = append(entries, m.entry())
-		event.changes = append(event.changes, change{m, m.change})
+		entries = append(entries, m.listEntry())
+		event.changes = append(event.changes, change{m, m.stateVersion})
 	}
 	event.line = fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`,
 		offset, offset, whole, strings.Join(entries, ","))
 	d.events = append(d.events, event)
-	d.w.note("the bus has %s", event.line)
-	d.w.network.After(toldLimit, func() { d.told(event) })
+	d.w.tracef("the bus has %s", event.line)
+	d.w.network.After(knownWithin, func() { d.recordKnown(event) })
 	if d.silent {
 		return
 	}
 	for _, watch := range d.watches {
-		watch.tell(offset)
+		watch.sendUpTo(offset)
 	}
 }
 
-// read notes that the process has read an event.
-func (d *discovery) read(event listEvent) {
-	d.told(event)
+// recordRead notes that the process has recordRead an event.
+func (d *discovery) recordRead(event listEvent) {
+	d.recordKnown(event)
 	for _, c := range event.changes {
 		m := c.machine
-		if m.heardOf == 0 {
-			m.heardOf = max(d.w.now(), 1)
+		if m.firstReadAt == 0 {
+			m.firstReadAt = max(d.w.now(), 1)
 		}
-		if m.change == c.number {
-			m.startIsRead()
+		if m.stateVersion == c.version {
+			m.recordStartRead()
 		}
 	}
 }
 
-// told notes that the process knows an event, or has to.
-func (d *discovery) told(event listEvent) {
+// recordKnown notes that the process knows an event, or has to.
+func (d *discovery) recordKnown(event listEvent) {
 	for _, c := range event.changes {
 		m := c.machine
-		if m.change == c.number && m.state != healthReady && m.unavailableTold == 0 {
-			m.unavailableTold = d.w.now()
+		if m.stateVersion == c.version && m.state != healthReady && m.unavailableKnownAt == 0 {
+			m.unavailableKnownAt = d.w.now()
 		}
 	}
 }
@@ -109,14 +109,14 @@
 func (d *discovery) restart() (known []string) {
 	d.events, d.silent = nil, false
 	d.endpoints[d.active].Refuse = false
-	d.publish(true, d.w.listed()...)
+	d.publish(true, d.w.listedMachines()...)
 	event := d.events[0]
-	d.read(event)
+	d.recordRead(event)
 	return []string{event.line}
 }
 
-// breakOff ends all connections of the watch.
-func (d *discovery) breakOff() {
+// disconnect ends all connections of the watch.
+func (d *discovery) disconnect() {
 	for _, watch := range slices.Clone(d.watches) {
 		watch.end()
 	}
@@ -129,7 +129,7 @@
 	d.active = 1 - d.active
 	d.endpoints[d.active].Refuse = false
 	d.watches = nil
-	d.w.network.After(oldBusLinger, func() {
+	d.w.network.After(oldAddressLinger, func() {
 		for _, watch := range old {
 			watch.end()
 		}
@@ -143,8 +143,8 @@
 	conn      *simnet.PeerConn
 	lines     lineReader
 	following bool // the process has asked
-	toldTo    int  // the last event that was written
-	toldAny   bool // an event was written
+	sentUpTo  int  // the last event that was written
+	sentAny   bool // an event was written
 	gap       bool // one was passed over: the process cannot make use of later ones
 }
 
@@ -160,13 +160,13 @@
 		number, ok := strings.CutPrefix(string(line.text), "from ")
 		from, err := strconv.Atoi(number)
 		if !ok || err != nil || from < 0 {
-			x.discovery.w.judge.violate(ruleProcess, "the bus is asked for %q", line.text)
+			x.discovery.w.checker.report(ruleProcess, "the bus is asked for %q", line.text)
 			return
 		}
-		x.following, x.toldTo = true, from
+		x.following, x.sentUpTo = true, from
 		if !x.discovery.silent {
-			x.tell(len(x.discovery.events))
-			x.tellOffset()
+			x.sendUpTo(len(x.discovery.events))
+			x.sendOffset()
 		}
 	})
 }
@@ -187,28 +187,28 @@
 	x.conn.Reset()
 }
 
-// tell writes the events up to a number that were not written yet.
-func (x *watch) tell(offset int) {
-	for x.following && x.address == x.discovery.active && x.toldTo < offset {
-		x.toldTo++
-		x.tellAgain(x.toldTo)
+// sendUpTo writes the events up to a number that were not written yet.
+func (x *watch) sendUpTo(offset int) {
+	for x.following && x.address == x.discovery.active && x.sentUpTo < offset {
+		x.sentUpTo++
+		x.sendEvent(x.sentUpTo)
 	}
 }
 
-// tellAgain writes one event.
-func (x *watch) tellAgain(offset int) {
+// sendEvent writes one event.
+func (x *watch) sendEvent(offset int) {
 	event := x.discovery.events[offset-1]
-	line := x.discovery.w.fault.busLine(event.line)
-	x.toldAny = true
+	line := x.discovery.w.fault.discoveryLine(event.line)
+	x.sentAny = true
 	x.conn.Write([]byte(line+"\n"), func() {
 		if !x.gap {
-			x.discovery.read(event)
+			x.discovery.recordRead(event)
 		}
 	})
 }
 
-// tellOffset writes the last number, now and each second.
-func (x *watch) tellOffset() {
+// sendOffset writes the last number, now and each second.
+func (x *watch) sendOffset() {
 	d := x.discovery
 	if !slices.Contains(d.watches, x) {
 		return
@@ -216,5 +216,5 @@
 	if !d.silent {
 		x.conn.Write(fmt.Appendf(nil, `{"offset":%d}`+"\n", len(d.events)), nil)
 	}
-	d.w.network.After(offsetInterval, x.tellOffset)
+	d.w.network.After(offsetInterval, x.sendOffset)
 }
--- a/internal/testbed/platformcheck/faults.go
+++ b/internal/testbed/platformcheck/faults.go
@@ -25,14 +25,14 @@
 	LostAnswer Fault = "answer"
 	// ForgottenAttempt has an attempt that timed out or was lost count as one that never ran.
 	ForgottenAttempt Fault = "attempt"
-	// UnheardDrain has the process take machines that drain for ready ones.
-	UnheardDrain Fault = "drain"
+	// IgnoredDrain has the process take machines that drain for ready ones.
+	IgnoredDrain Fault = "drain"
 	// LeakedDescriptor has the descriptors of some connections that ended never closed.
 	LeakedDescriptor Fault = "descriptor"
 	// RepeatedWrite has a write that was taken in part begin anew.
 	RepeatedWrite Fault = "write"
-	// UnheardEnd has the ends of containers that run not reach the process.
-	UnheardEnd Fault = "end"
+	// LostEnd has the ends of containers that run not reach the process.
+	LostEnd Fault = "end"
 	// DelayedEnd has the ends of some containers that run reach the process late.
 	DelayedEnd Fault = "delay"
 	// IgnoredSpread has the decisions know of no spread limits.
@@ -47,7 +47,7 @@
 
 // Faults are all faults.
 var Faults = []Fault{
-	LostAnswer, ForgottenAttempt, UnheardDrain, LeakedDescriptor, RepeatedWrite, UnheardEnd, DelayedEnd,
+	LostAnswer, ForgottenAttempt, IgnoredDrain, LeakedDescriptor, RepeatedWrite, LostEnd, DelayedEnd,
 	IgnoredSpread, UncountedClaim, IgnoredSlowStart, WholeBudget,
 }
 
@@ -87,8 +87,8 @@
 	count int
 }
 
-// hits counts, and reports whether it goes wrong this time.
-func (f *installedFault) hits() bool {
+// triggers counts, and reports whether it goes wrong this time.
+func (f *installedFault) triggers() bool {
 	f.count++
 	return f.count%everyNth == 0
 }
@@ -126,9 +126,9 @@
 	return config
 }
 
-// busLine is what the process reads in place of a line of the discovery service.
-func (f *installedFault) busLine(line string) string {
-	if f.fault == UnheardDrain {
+// discoveryLine is what the process reads in place of a line of the discovery service.
+func (f *installedFault) discoveryLine(line string) string {
+	if f.fault == IgnoredDrain {
 		return strings.ReplaceAll(line, `"health":"draining"`, `"health":"ready"`)
 	}
 	return line
@@ -136,7 +136,7 @@
 
 // releaseLine is what the process reads in place of a machine's line that a container has ended.
 func (f *installedFault) releaseLine(line string) string {
-	if (f.fault == UnheardEnd || f.fault == DelayedEnd) && f.hits() {
+	if (f.fault == LostEnd || f.fault == DelayedEnd) && f.triggers() {
 		return strings.Replace(line, `"op":"end"`, `"op":"ringing"`, 1)
 	}
 	return line
@@ -161,7 +161,7 @@
 	}
 	actions := d.Scheduler.Handle(now, events)
 	if d.fault.fault == LostAnswer {
-		actions = slices.DeleteFunc(actions, d.loses)
+		actions = slices.DeleteFunc(actions, d.losesAnswer)
 	}
 	return actions
 }
@@ -181,10 +181,10 @@
 	return ok
 }
 
-func (d *faultyDecisions) loses(action scheduler.Action) bool {
+func (d *faultyDecisions) losesAnswer(action scheduler.Action) bool {
 	switch action.(type) {
 	case scheduler.Reject, scheduler.Fail:
-		return d.fault.hits()
+		return d.fault.triggers()
 	default:
 		return false
 	}
@@ -199,7 +199,7 @@
 // Close implements eventloop.Kernel.
 func (k *leakingKernel) Close(fd int) {
 	_, err := k.Read(fd, nil)
-	if isConnection := !errors.Is(err, unix.ENOTCONN) && !errors.Is(err, unix.EBADF); isConnection && k.fault.hits() {
+	if isConnection := !errors.Is(err, unix.ENOTCONN) && !errors.Is(err, unix.EBADF); isConnection && k.fault.triggers() {
 		return
 	}
 	k.Kernel.Close(fd)
--- a/internal/testbed/platformcheck/form.go
+++ b/internal/testbed/platformcheck/form.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// worldForm is what differs between the worlds of two seeds beside their events and their chance: the settings that the
+// worldParams is what differs between the worlds of two seeds beside their events and their chance: the settings that the
 // process is given.
-type worldForm struct {
+type worldParams struct {
 	machines    int           // at the begin
 	descriptors int           // that the process may have
 	deadline    time.Duration // the longest time that clients wait
@@ -15,8 +15,8 @@
 // deadlines are the longest times that clients wait, one of them in each run.
 var deadlines = [...]time.Duration{300 * ms, 1500 * ms, 4000 * ms}
 
-// spreadForms are the limits of the classes, one row of them in each run.
-var spreadForms = [...][]spreadLimit{
+// spreadChoices are the limits of the classes, one row of them in each run.
+var spreadChoices = [...][]spreadLimit{
 	{{}, {}, {}},
 	{{scopeMachine, 1}, {scopeMachine, 1}, {scopeMachine, 1}},
 	{{scopeRackGroup, 1}, {scopeRackGroup, 2}, {scopeRackGroup, 2}},
@@ -24,9 +24,9 @@
 	{{scopeMachine, 2}, {scopeRackGroup, 1}, {scopeZone, 1}},
 }
 
-// slowStartForms are the settings of slow start, one of them in each run. With a short window, connections come up
+// slowStartChoices are the settings of slow start, one of them in each run. With a short window, connections come up
 // within a sixteenth of it, so that an eighth covers an offer's way; the last form is as sites have it.
-var slowStartForms = [...]slowStart{
+var slowStartChoices = [...]slowStart{
 	{schedulers: 1, budget: 30, window: 3000 * ms, period: 2000 * ms, connectTimeout: 250 * ms},
 	{schedulers: 1, budget: 1, window: 400 * ms, period: 3000 * ms, connectTimeout: 25 * ms},
 	{schedulers: 1, budget: 3, window: 400 * ms, period: 3000 * ms, connectTimeout: 25 * ms},
@@ -44,21 +44,21 @@
 	manyMachines = 300
 	manyOneIn    = 11 // runs that begin with manyMachines
 
-	// formCount is the number of forms. Seeds that differ by it have the same one.
-	formCount = len(deadlines) * len(spreadForms) * len(slowStartForms) * len(descriptorLimits) * manyOneIn
+	// paramCombinations is the number of forms. Seeds that differ by it have the same one.
+	paramCombinations = len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * manyOneIn
 )
 
-// formOf is the form of a seed. The numbers of its parts have no common divisor, so that each meets each.
-func formOf(seed uint64) worldForm {
+// paramsOf is the form of a seed. The numbers of its parts have no common divisor, so that each meets each.
+func paramsOf(seed uint64) worldParams {
 	machines := fewMachines
 	if seed%manyOneIn == manyOneIn-1 {
 		machines = manyMachines
 	}
-	return worldForm{
+	return worldParams{
 		machines:    machines,
 		descriptors: descriptorLimits[seed%uint64(len(descriptorLimits))],
 		deadline:    deadlines[seed%uint64(len(deadlines))],
-		spread:      spreadForms[seed%uint64(len(spreadForms))],
-		slowStart:   slowStartForms[seed%uint64(len(slowStartForms))],
+		spread:      spreadChoices[seed%uint64(len(spreadChoices))],
+		slowStart:   slowStartChoices[seed%uint64(len(slowStartChoices))],
 	}
 }
--- a/internal/testbed/platformcheck/lines.go
+++ b/internal/testbed/platformcheck/lines.go
@@ -8,8 +8,8 @@
 	"glenport/internal/testbed/simnet"
 )
 
-// overlongShown is how much is shown of a line that is too long.
-const overlongShown = 256
+// overlongPrefixBytes is how much is shown of a line that is too long.
+const overlongPrefixBytes = 256
 
 // lineReader joins what the process writes on one connection to lines.
 type lineReader struct {
@@ -23,8 +23,8 @@
 	first, last simnet.Chunk // those with its first and its last byte
 }
 
-// heldUp reports whether the line may have been written later than it was meant to be, as the peer took too little.
-func (l receivedLine) heldUp() bool { return l.first.Congested || l.last.Congested }
+// mayBeDelayed reports whether the line may have been written later than it was meant to be, as the peer took too little.
+func (l receivedLine) mayBeDelayed() bool { return l.first.Congested || l.last.Congested }
 
 // feed passes on the lines that a chunk completes.
 func (r *lineReader) feed(chunk simnet.Chunk, handle func(receivedLine)) {
@@ -36,7 +36,7 @@
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
 			r.partial = append(r.partial, data...)
-			r.cutOverlong(chunk, handle)
+			r.truncateOverlong(chunk, handle)
 			return
 		}
 		line := receivedLine{text: append(r.partial, data[:end]...), first: r.first, last: chunk}
@@ -45,10 +45,10 @@
 	}
 }
 
-// cutOverlong passes on the begin of a line that is longer than any may be, in place of the line: it may have no end.
-func (r *lineReader) cutOverlong(chunk simnet.Chunk, handle func(receivedLine)) {
+// truncateOverlong passes on the begin of a line that is longer than any may be, in place of the line: it may have no end.
+func (r *lineReader) truncateOverlong(chunk simnet.Chunk, handle func(receivedLine)) {
 	if len(r.partial) > jsonlines.MaxLineBytes {
-		handle(receivedLine{text: r.partial[:overlongShown], first: r.first, last: chunk})
+		handle(receivedLine{text: r.partial[:overlongPrefixBytes], first: r.first, last: chunk})
 		r.partial = nil
 	}
 }
@@ -60,7 +60,7 @@
 	return fmt.Sprintf(`{"op":"end","call":%q,"with":{},"why":%d}`+"\n", call, cause)
 }
 
-func notedEndLine(call string, cause int, note string) string {
+func endLineWithNote(call string, cause int, note string) string {
 	return fmt.Sprintf(`{"op":"end","call":%q,"with":{"note":%q},"why":%d}`+"\n", call, note, cause)
 }
 
--- a/internal/testbed/platformcheck/logjudge.go
+++ b/internal/testbed/platformcheck/logjudge.go
@@ -5,31 +5,31 @@
 	"log/slog"
 )
 
-// logJudge is the log of the process. What is logged as an error, illegal state transitions among it, is a violation.
-type logJudge struct{ w *World }
+// logChecker is the log of the process. What is logged as an error, illegal state transitions among it, is a violation.
+type logChecker struct{ w *World }
 
 // Enabled implements slog.Handler.
-func (l *logJudge) Enabled(_ context.Context, level slog.Level) bool {
+func (l *logChecker) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelError || l.w.run.Trace != nil && level >= slog.LevelInfo
 }
 
 // Handle implements slog.Handler.
-func (l *logJudge) Handle(_ context.Context, record slog.Record) error {
+func (l *logChecker) Handle(_ context.Context, record slog.Record) error {
 	text := record.Message
 	record.Attrs(func(attribute slog.Attr) bool {
 		text += " " + attribute.String()
 		return true
 	})
 	if record.Level >= slog.LevelError {
-		l.w.judge.violate(ruleProcess, "it logs: %s", text)
+		l.w.checker.report(ruleProcess, "it logs: %s", text)
 		return nil
 	}
-	l.w.note("log: %s", text)
+	l.w.tracef("log: %s", text)
 	return nil
 }
 
 // WithAttrs implements slog.Handler; the process uses none.
-func (l *logJudge) WithAttrs([]slog.Attr) slog.Handler { return l }
+func (l *logChecker) WithAttrs([]slog.Attr) slog.Handler { return l }
 
 // WithGroup implements slog.Handler; the process uses none.
-func (l *logJudge) WithGroup(string) slog.Handler { return l }
+func (l *logChecker) WithGroup(string) slog.Handler { return l }
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -23,26 +23,26 @@
 	number   int // of the address
 	endpoint *simnet.Endpoint
 
-	state           string
-	bornMillis      int64
-	change          int           // the number of the last change of the state
-	unavailableTold time.Duration // when the process was told that it takes nothing new; 0: it does
-	unreliable      bool          // there was cause to hold what it runs for lost
-
-	heardOf     time.Duration // when the process has first read of it; 0: it has not
-	bornAt      time.Duration
-	startReadAt time.Duration   // when the process has read of its start; 0: it has not, or that is long ago
-	sends       []time.Duration // offers and probes to it
-	liedIn      int             // the last incarnation of the process that has read a made-up claim to the machine
-	doubtEnd    time.Duration   // what was sent to it before may be lost to the process
-	cut         bool            // it is silent; what comes and goes waits
-	deferred    []func()        // until it is no longer
-	conns       []*machineConn
-	responses   []response // to the next offers
-	runs        []*placement
-	unsent      []release // to be written on the next connection, until one process has read them there
-
-	cutPlacements []*placement // by its stop
+	state              string
+	startMillis        int64
+	stateVersion       int           // the number of the last change of the state
+	unavailableKnownAt time.Duration // when the process was told that it takes nothing new; 0: it does
+	unreliable         bool          // there was cause to hold what it runs for lost
+
+	firstReadAt      time.Duration // when the process has first read of it; 0: it has not
+	startedAt        time.Duration
+	startReadAt      time.Duration   // when the process has read of its start; 0: it has not, or that is long ago
+	sends            []time.Duration // offers and probes to it
+	falseClaimReadBy int             // the last incarnation of the process that has read a made-up claim to the machine
+	uncertainUntil   time.Duration   // what was sent to it before may be lost to the process
+	partitioned      bool            // it is silent; what comes and goes waits
+	deferred         []func()        // until it is no longer
+	conns            []*machineConn
+	responses        []response // to the next offers
+	containers       []*placement
+	unreadEnds       []endNotice // to be written on the next connection, until one process has read them there
+
+	stoppedPlacements []*placement // by its stop
 }
 
 func (w *World) newMachine(id string, number int) *machine {
@@ -52,11 +52,11 @@
 	return m
 }
 
-// entry is the machine in an event of the discovery service.
-func (m *machine) entry() string {
+// listEntry is the machine in an event of the discovery service.
+func (m *machine) listEntry() string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":%q,"block":%d,"health":%q,"share":1,"born_ms":%d,`+
 		`"free":[20,50]}`, m.id, machineAddr(m.number), zoneNames[m.zone()], machineType, m.rackGroup(), m.state,
-		m.bornMillis)
+		m.startMillis)
 }
 
 // rackGroup and zone are where the machine is: two addresses make a rack group, and the rack groups take turns in the
@@ -67,26 +67,26 @@
 
 // whenReachable does something now, or once the machine is no longer cut off.
 func (m *machine) whenReachable(do func()) {
-	if m.cut {
+	if m.partitioned {
 		m.deferred = append(m.deferred, do)
 		return
 	}
 	do()
 }
 
-// cutOff makes the machine silent for a time.
-func (m *machine) cutOff(span time.Duration) {
-	if m.cut {
+// partition makes the machine silent for a time.
+func (m *machine) partition(span time.Duration) {
+	if m.partitioned {
 		return
 	}
-	m.cut, m.endpoint.Silent, m.unreliable = true, true, true
-	m.doubtUntil(m.w.now() + span)
+	m.partitioned, m.endpoint.Silent, m.unreliable = true, true, true
+	m.extendUncertainty(m.w.now() + span)
 	m.w.network.After(span, m.restore)
 }
 
 // restore ends a cut, and all that keeps connections from coming up.
 func (m *machine) restore() {
-	m.cut, m.endpoint.Silent, m.endpoint.Refuse, m.endpoint.Delay = false, false, m.state == healthGone, 0
+	m.partitioned, m.endpoint.Silent, m.endpoint.Refuse, m.endpoint.Delay = false, false, m.state == healthGone, 0
 	deferred := m.deferred
 	m.deferred = nil
 	for _, do := range deferred {
@@ -97,7 +97,7 @@
 // refuse has connections refused for a time.
 func (m *machine) refuse(span time.Duration) {
 	m.endpoint.Refuse, m.unreliable = true, true
-	m.doubtUntil(m.w.now() + span)
+	m.extendUncertainty(m.w.now() + span)
 	m.w.network.After(span, func() { m.endpoint.Refuse = m.state == healthGone })
 }
 
@@ -105,16 +105,16 @@
 func (m *machine) stop() {
 	m.restore() // what it was sent before counts
 	m.unreliable = true
-	for _, p := range m.runs {
+	for _, p := range m.containers {
 		p.endedAt = m.w.now()
 		p.offer.release(p.endedAt)
-		p.unknowable = p.heldBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0 || p.mayBeLeftOut()
-		m.cutPlacements = append(m.cutPlacements, p)
+		p.endNotOwed = p.knownBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0 || p.claimMayBeDropped()
+		m.stoppedPlacements = append(m.stoppedPlacements, p)
 	}
-	for _, r := range m.unsent {
-		r.placement.unknowable = true
+	for _, r := range m.unreadEnds {
+		r.placement.endNotOwed = true
 	}
-	m.runs, m.unsent, m.deferred, m.responses = nil, nil, nil, nil
+	m.containers, m.unreadEnds, m.deferred, m.responses = nil, nil, nil, nil
 	for _, conn := range slices.Clone(m.conns) {
 		conn.reset()
 	}
@@ -135,12 +135,12 @@
 func (m *machine) start(o *offer, conn *machineConn) *placement {
 	p := &placement{
 		request: o.request, offer: o, machine: m, conn: conn,
-		description: fmt.Sprintf("%s on %s, %d", o.request.call, m.id, len(o.request.placements)),
+		description: fmt.Sprintf("%s on %s, %d", o.request.id, m.id, len(o.request.placements)),
 	}
 	o.placement = p
-	m.unsent = slices.DeleteFunc(m.unsent, func(r release) bool { return r.placement.request == o.request })
+	m.unreadEnds = slices.DeleteFunc(m.unreadEnds, func(r endNotice) bool { return r.placement.request == o.request })
 	o.request.placements = append(o.request.placements, p)
-	m.runs = append(m.runs, p)
+	m.containers = append(m.containers, p)
 	lifetime := time.Duration(50+o.request.lifetimeMillis()) * time.Millisecond
 	m.w.network.After(lifetime, func() { m.finish(p, jsonlines.CauseNormal) })
 	return p
@@ -148,44 +148,44 @@
 
 // finish ends a container that runs, and releases it.
 func (m *machine) finish(p *placement, cause int) {
-	if !p.runs() || !slices.Contains(m.runs, p) {
+	if !p.runs() || !slices.Contains(m.containers, p) {
 		return
 	}
 	p.endedAt = m.w.now()
 	p.offer.release(p.endedAt)
-	m.runs = slices.DeleteFunc(m.runs, func(other *placement) bool { return other == p })
-	end := endLine(p.request.call, cause)
+	m.containers = slices.DeleteFunc(m.containers, func(other *placement) bool { return other == p })
+	end := endLine(p.request.id, cause)
 	line := m.w.fault.releaseLine(end)
-	m.announce(release{p, line})
-	if born := m.bornAt; m.w.fault.fault == DelayedEnd && line != end {
+	m.reportEnd(endNotice{p, line})
+	if born := m.startedAt; m.w.fault.fault == DelayedEnd && line != end {
 		m.w.network.After(endDelay, func() {
-			if m.bornAt == born && m.state != healthGone {
-				m.announce(release{p, end})
+			if m.startedAt == born && m.state != healthGone {
+				m.reportEnd(endNotice{p, end})
 			}
 		})
 	}
 }
 
-// announce writes a release now, and on the next connection.
-func (m *machine) announce(r release) {
-	m.unsent = append(m.unsent, r)
-	m.whenReachable(func() { m.release(r.placement, r.line) })
+// reportEnd writes a release now, and on the next connection.
+func (m *machine) reportEnd(r endNotice) {
+	m.unreadEnds = append(m.unreadEnds, r)
+	m.whenReachable(func() { m.writeEnd(r.placement, r.line) })
 }
 
-// release is the line by which a machine says that a container has ended.
-type release struct {
+// endNotice is the line by which a machine says that a container has ended.
+type endNotice struct {
 	placement *placement
 	line      string
 }
 
-// repeated notes that a process has read a release on the connection that it opened next.
-func (m *machine) repeated(r release) {
-	r.placement.endRead()
-	m.unsent = slices.DeleteFunc(m.unsent, func(other release) bool { return other == r })
+// removeUnreadEnd notes that a process has read a release on the connection that it opened next.
+func (m *machine) removeUnreadEnd(r endNotice) {
+	r.placement.recordEndRead()
+	m.unreadEnds = slices.DeleteFunc(m.unreadEnds, func(other endNotice) bool { return other == r })
 }
 
-// release writes the end of a container on the connection of its offer, or else on any.
-func (m *machine) release(p *placement, line string) {
+// writeEnd writes the end of a container on the connection of its offer, or else on any.
+func (m *machine) writeEnd(p *placement, line string) {
 	conn := p.conn
 	if conn == nil || !conn.open {
 		if len(m.conns) == 0 {
@@ -193,13 +193,13 @@
 		}
 		conn = m.conns[0]
 	}
-	conn.writeMarked(line, p.endRead)
+	conn.writeMarked(line, p.recordEndRead)
 }
 
 // running returns the container of a call that runs here.
 func (m *machine) running(call string) *placement {
-	for _, p := range m.runs {
-		if p.request.call == call {
+	for _, p := range m.containers {
+		if p.request.id == call {
 			return p
 		}
 	}
--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -23,8 +23,8 @@
 	c.conn, c.open = conn, true
 	m := c.machine
 	m.conns = append(m.conns, c)
-	for _, r := range m.unsent {
-		c.writeMarked(r.line, func() { m.repeated(r) })
+	for _, r := range m.unreadEnds {
+		c.writeMarked(r.line, func() { m.removeUnreadEnd(r) })
 	}
 }
 
@@ -65,15 +65,15 @@
 
 // finishAt notes that an offer is not out since a time. What a machine that was cut off hears late has happened before.
 func (o *offer) finishAt(moment time.Duration) {
-	if o.overAt == 0 || moment < o.overAt {
-		o.overAt = moment
+	if o.finishedAt == 0 || moment < o.finishedAt {
+		o.finishedAt = moment
 	}
 }
 
 func (c *machineConn) write(line string) { c.writeMarked(line, nil) }
 
 func (c *machineConn) writeMarked(line string, onRead func()) {
-	c.machine.w.note("%s says %s", c.machine.id, line)
+	c.machine.w.tracef("%s says %s", c.machine.id, line)
 	c.machine.whenReachable(func() {
 		if c.open {
 			c.conn.Write([]byte(line), onRead)
@@ -84,20 +84,20 @@
 // handle takes in a line of the process.
 func (c *machineConn) handle(line receivedLine) {
 	w := c.machine.w
-	w.note("%s hears %s", c.machine.id, line.text)
+	w.tracef("%s hears %s", c.machine.id, line.text)
 	msg, err := line.decode()
 	if err != nil {
-		w.judge.violate(ruleProcess, "a line to %s is garbled: %s", c.machine.id, line.text)
+		w.checker.report(ruleProcess, "a line to %s is garbled: %s", c.machine.id, line.text)
 		return
 	}
 	switch msg.Op {
 	case jsonlines.OpOffer:
-		c.machine.sent(line)
+		c.machine.recordSend(line)
 		c.handleOffer(msg, line)
 	case jsonlines.OpEnd:
 		c.handleEnd(msg, line)
 	case jsonlines.OpTest:
-		c.machine.sent(line)
+		c.machine.recordSend(line)
 		c.write(testedLine(msg.RequestID))
 	default: // means nothing to a machine
 	}
@@ -105,22 +105,22 @@
 
 func (c *machineConn) handleOffer(msg *jsonlines.Message, line receivedLine) {
 	m := c.machine
-	r := m.w.judge.requests[msg.RequestID]
+	r := m.w.checker.requests[msg.RequestID]
 	if r == nil || r.onlyClaimed || r.key != msg.Fields["key"] || r.class.name != msg.Fields["class"] ||
 		string(msg.Description) != requestDescription {
-		m.w.judge.violate(ruleProcess, "%s is offered what nobody asked for: %s", m.id, line.text)
+		m.w.checker.report(ruleProcess, "%s is offered what nobody asked for: %s", m.id, line.text)
 		return
 	}
 	left, err := strconv.Atoi(msg.Fields["left"])
 	if err != nil {
-		m.w.judge.violate(ruleProcess, "%s is offered what it cannot read: %v", m.id, err)
+		m.w.checker.report(ruleProcess, "%s is offered what it cannot read: %v", m.id, err)
 		return
 	}
 	o := &offer{
-		request: r, machine: m, conn: c, left: left, incarnation: m.w.incarnations,
-		writtenAt: line.first.WrittenAt, iteration: line.first.Iteration, heldUp: line.heldUp(),
+		request: r, machine: m, conn: c, remainingMillis: left, incarnation: m.w.incarnations,
+		writtenAt: line.first.WrittenAt, iteration: line.first.Iteration, mayBeDelayed: line.mayBeDelayed(),
 	}
-	m.w.judge.offered(o)
+	m.w.checker.recordOffer(o)
 	if !c.open {
 		o.finish()
 		return
@@ -132,7 +132,7 @@
 // handleEnd takes in that an offer is called off, or that a container is to end.
 func (c *machineConn) handleEnd(msg *jsonlines.Message, line receivedLine) {
 	for _, o := range c.offers {
-		if o.request.call == msg.RequestID {
+		if o.request.id == msg.RequestID {
 			o.finishAt(line.first.WrittenAt)
 			o.releaseBy(line)
 		}
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -23,11 +23,11 @@
 	for fault, rules := range map[Fault][]string{
 		LostAnswer:       {ruleAnswer, ruleProcess},
 		ForgottenAttempt: {ruleDuplicate},
-		UnheardDrain:     {ruleDraining},
+		IgnoredDrain:     {ruleDraining},
 		LeakedDescriptor: {ruleProcess},
 		RepeatedWrite:    {ruleAnswer, ruleProcess},
-		UnheardEnd:       {ruleRelease},
-		DelayedEnd:       {ruleRelease},
+		LostEnd:          {ruleEndReport},
+		DelayedEnd:       {ruleEndReport},
 		IgnoredSpread:    {ruleSpread},
 		UncountedClaim:   {ruleSpread},
 		IgnoredSlowStart: {ruleSlowStart},
@@ -44,7 +44,7 @@
 
 // A list that fails is reduced to one that needs each of its events, and fails again in the same way.
 func TestFailureIsReduced(t *testing.T) {
-	result := Campaign{Events: 12_000, Fault: UnheardDrain, Workers: 2}.Play()
+	result := Campaign{Events: 12_000, Fault: IgnoredDrain, Workers: 2}.Play()
 	testutil.Require(t, result.Failed > 0, "nothing failed")
 	reduced := Reduce(result.First.Run)
 	count := len(reduced.Run.Events)
@@ -81,7 +81,7 @@
 	drawn := map[string]bool{}
 	for seed := range uint64(50) {
 		for _, event := range Draw(seed, eventsPerRun) {
-			drawn[event.Sort.String()+event.action().text] = true
+			drawn[event.Kind.String()+event.action().text] = true
 			testutil.Expect(t, strings.Contains(event.String(), event.action().text), "%v", event)
 		}
 	}
@@ -90,7 +90,7 @@
 			testutil.Expect(t, drawn[sort.String()+variant.text], "%v: %q is never drawn", sort, variant.text)
 		}
 	}
-	testutil.Equal(t, len(actions), int(sortCount), "sorts of events")
+	testutil.Equal(t, len(actions), int(kindCount), "sorts of events")
 }
 
 func TestFaultsAreKnownByName(t *testing.T) {
@@ -105,10 +105,10 @@
 // Each part of the forms meets each other one, and seeds that differ by formCount have the same form.
 func TestFormsAreAllCombinations(t *testing.T) {
 	forms := map[string]bool{}
-	for seed := range uint64(2 * formCount) {
-		forms[fmt.Sprint(formOf(seed))] = true
+	for seed := range uint64(2 * paramCombinations) {
+		forms[fmt.Sprint(paramsOf(seed))] = true
 	}
 	sizes := 2 // few machines, and many
-	combinations := len(deadlines) * len(spreadForms) * len(slowStartForms) * len(descriptorLimits) * sizes
+	combinations := len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * sizes
 	testutil.Equal(t, len(forms), combinations, "forms")
 }
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -8,23 +8,23 @@
 
 // request is a request of a client, with what became of it.
 type request struct {
-	call, key, service string
+	id, key, service   string
 	class              workloadClass
 	spread             spreadLimit // of the class
 	client             *client
 	line               string
 	sentAt, due        time.Duration
 	readIteration      int // in which the process read its last byte; 0: not yet
-	acceptedLate       bool
+	connAcceptedLate   bool
 	excused            bool // no answer is owed any more
 	onlyClaimed        bool // a client said that it runs, and never asked for it
-	liedAbout          bool // a client said that it runs while it was open
+	falselyClaimed     bool // a client said that it runs while it was open
 	memory             int  // that it asks for
 	answer             answer
 	answerIteration    int // in which the answer's first byte was written
-	answerHeldUp       bool
-	givenUp            bool
-	giveUpIteration    int // in which the process read that
+	answerMayBeDelayed bool
+	cancelled          bool
+	cancelIteration    int // in which the process read that
 	offers             []*offer
 	placement          *placement // of the accept that the client was given
 	placements         []*placement
@@ -36,63 +36,63 @@
 const (
 	unanswered answer = iota
 	accepted
-	refused // it never ran
+	rejected // it never ran
 	failed
 )
 
 // offer is an attempt as its machine observed it.
 type offer struct {
-	request     *request
-	machine     *machine
-	conn        *machineConn
-	writtenAt   time.Duration // its first byte
-	iteration   int
-	left        int // milliseconds that the process waits for the answer, as it says
-	heldUp      bool
-	overAt      time.Duration // 0: it is out
-	refused     bool          // the machine said that it never ran
-	refusalRead bool          // the process has read that
-	incarnation int           // of the process
-	releasedAt  time.Duration // since when the process need not count it any more; 0: it does
-	placement   *placement    // nil until the machine accepts
-	acceptRead  bool          // the process has read that
+	request         *request
+	machine         *machine
+	conn            *machineConn
+	writtenAt       time.Duration // its first byte
+	iteration       int
+	remainingMillis int // milliseconds that the process waits for the answer, as it says
+	mayBeDelayed    bool
+	finishedAt      time.Duration // 0: it is out
+	rejected        bool          // the machine said that it never ran
+	rejectionRead   bool          // the process has read that
+	incarnation     int           // of the process
+	releasedAt      time.Duration // since when the process need not count it any more; 0: it does
+	placement       *placement    // nil until the machine accepts
+	acceptRead      bool          // the process has read that
 }
 
 // neverRan reports whether the process knows that the offer had no effect.
-func (o *offer) neverRan() bool { return o.refused && o.refusalRead }
+func (o *offer) neverRan() bool { return o.rejected && o.rejectionRead }
 
-// isOverBefore reports whether the offer was over when the other one was not.
-func (o *offer) isOverBefore(other *offer) bool {
-	return o.overAt != 0 && (other.overAt == 0 || o.overAt <= other.overAt)
+// finishedBefore reports whether the offer was over when the other one was not.
+func (o *offer) finishedBefore(other *offer) bool {
+	return o.finishedAt != 0 && (other.finishedAt == 0 || o.finishedAt <= other.finishedAt)
 }
 
 // placement is a container that a machine has accepted.
 type placement struct {
-	request     *request
-	offer       *offer
-	machine     *machine
-	conn        *machineConn
-	description string
-	endedAt     time.Duration   // 0: it runs
-	known       bool            // the client was given its accept
-	ordered     bool            // its client has ended it: no release is owed
-	releaseRead bool            // a process has read that it ended
-	endReads    []time.Duration // when a process has read that
-	endReadBy   int             // the incarnation of the process that has read it last
-	told        bool
-	heldBy      int // the incarnation of the process that was told last that it runs
-	claimedFrom int // the incarnation of the process that was told last by a client that it runs
-	claimedAt   time.Duration
-	unknowable  bool // it was cut when no process held it, and nobody reports that
+	request         *request
+	offer           *offer
+	machine         *machine
+	conn            *machineConn
+	description     string
+	endedAt         time.Duration   // 0: it runs
+	acceptDelivered bool            // the client was given its accept
+	cancelled       bool            // its client has ended it: no release is owed
+	endRead         bool            // a process has read that it ended
+	endReads        []time.Duration // when a process has read that
+	endReadBy       int             // the incarnation of the process that has read it last
+	endReported     bool
+	knownBy         int // the incarnation of the process that was told last that it runs
+	claimReadBy     int // the incarnation of the process that was told last by a client that it runs
+	claimReadAt     time.Duration
+	endNotOwed      bool // it was cut when no process held it, and nobody reports that
 }
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
 
-// isEndOfLie reports whether a message is the end of what a client has claimed to run while the request was open. The
+// endsFalseClaim reports whether a message is the end of what a client has claimed to run while the request was open. The
 // request is over, and did not get there.
-func (r *request) isEndOfLie(msg *jsonlines.Message) bool {
-	return r.liedAbout && r.placement == nil && msg.Op == jsonlines.OpEnd && !r.owed()
+func (r *request) endsFalseClaim(msg *jsonlines.Message) bool {
+	return r.falselyClaimed && r.placement == nil && msg.Op == jsonlines.OpEnd && !r.awaitsAnswer()
 }
 
-// owed reports whether the process owes an answer.
-func (r *request) owed() bool { return r.answer == unanswered && !r.givenUp && !r.excused }
+// awaitsAnswer reports whether the process owes an answer.
+func (r *request) awaitsAnswer() bool { return r.answer == unanswered && !r.cancelled && !r.excused }
--- a/internal/testbed/platformcheck/reduce.go
+++ b/internal/testbed/platformcheck/reduce.go
@@ -25,7 +25,7 @@
 		if parts == count {
 			tries += variations
 		}
-		shorter, ok := found.leaveOutPart(parts, tries)
+		shorter, ok := found.withoutPart(parts, tries)
 		switch {
 		case ok:
 			found = shorter
@@ -38,9 +38,9 @@
 	return found
 }
 
-// leaveOutPart returns the failure without the first of its parts that it can do without; false where it needs them
+// withoutPart returns the failure without the first of its parts that it can do without; false where it needs them
 // all.
-func (f Failure) leaveOutPart(parts, tries int) (Failure, bool) {
+func (f Failure) withoutPart(parts, tries int) (Failure, bool) {
 	all := f.Run.Events
 	size := (len(all) + parts - 1) / parts
 	for begin := 0; begin < len(all); begin += size {
@@ -58,7 +58,7 @@
 
 // varied returns the run with another seed of the same form, and another amount in one event.
 func (r Run) varied(number uint64) Run {
-	r.Seed += uint64(formCount)
+	r.Seed += uint64(paramCombinations)
 	if len(r.Events) == 0 {
 		return r
 	}
--- a/internal/testbed/platformcheck/releasejudge.go
+++ b/internal/testbed/platformcheck/releasejudge.go
@@ -6,91 +6,93 @@
 )
 
 const (
-	releaseLimit      = 8500 * time.Millisecond // from the end of a container to a client that is told of it
-	shortReleaseLimit = time.Second             // from when the process has read of the end
+	endReportLimit     = 8500 * time.Millisecond // from the end of a container to a client that is told of it
+	readEndReportLimit = time.Second             // from when the process has read of the end
 )
 
-// checkReleases checks at the end of a run that each end was told.
-func (w *World) checkReleases() {
-	for _, call := range w.calls {
-		for _, p := range w.judge.requests[call].placements {
-			w.checkRelease(p)
+// checkEndReports checks at the end of a run that each end was told.
+func (w *World) checkEndReports() {
+	for _, call := range w.requestIDs {
+		for _, p := range w.checker.requests[call].placements {
+			w.checkEndReport(p)
 		}
 	}
 }
 
-func (w *World) checkRelease(p *placement) {
-	if !p.known || p.runs() || p.told || p.ordered || p.unknowable || w.now() < p.endedAt+releaseLimit {
+func (w *World) checkEndReport(p *placement) {
+	if !p.acceptDelivered || p.runs() || p.endReported || p.cancelled || p.endNotOwed || w.now() < p.endedAt+endReportLimit {
 		return
 	}
-	w.judge.violate(ruleRelease, "the end of container %s on %s, %v ago, was told to no client",
-		p.request.call, p.machine.id, w.now()-p.endedAt)
+	w.checker.report(ruleEndReport, "the end of container %s on %s, %v ago, was told to no client",
+		p.request.id, p.machine.id, w.now()-p.endedAt)
 }
 
-// endRead takes in that a process has read that the container ended.
-func (p *placement) endRead() {
+// recordEndRead takes in that a process has read that the container ended.
+func (p *placement) recordEndRead() {
 	w := p.machine.w
-	p.releaseRead = true
+	p.endRead = true
 	p.endReads = append(p.endReads, w.now())
 	if p.endReadBy != w.incarnations {
 		p.endReadBy = w.incarnations
-		p.owedSoon()
+		p.expectReport()
 	}
 }
 
-// mayBeLeftOut reports whether the process knows the container from a claim alone, and may have left that out for
+// claimMayBeDropped reports whether the process knows the container from a claim alone, and may have left that out for
 // made-up ones: then it hears only of an end that the machine reports.
-func (p *placement) mayBeLeftOut() bool { return p.offer.claimMayBeLeftOut(p.machine.w.incarnations) }
+func (p *placement) claimMayBeDropped() bool {
+	return p.offer.claimMayBeDropped(p.machine.w.incarnations)
+}
 
-// claimRead takes in that the process has read a claim that the container runs.
-func (p *placement) claimRead() {
+// recordClaimRead takes in that the process has read a claim that the container runs.
+func (p *placement) recordClaimRead() {
 	w := p.machine.w
-	p.heldBy = w.incarnations
-	if p.claimedFrom == w.incarnations {
+	p.knownBy = w.incarnations
+	if p.claimReadBy == w.incarnations {
 		return
 	}
-	p.claimedFrom, p.claimedAt = w.incarnations, w.now()
+	p.claimReadBy, p.claimReadAt = w.incarnations, w.now()
 	if p.endReadBy == w.incarnations {
-		p.owedSoon()
+		p.expectReport()
 	}
 }
 
-// owedSoon has a client told soon, as the process has read of the end of a container that it holds for running: it has
+// expectReport has a client told soon, as the process has read of the end of a container that it holds for running: it has
 // read the accept, or a claim.
-func (p *placement) owedSoon() {
+func (p *placement) expectReport() {
 	w := p.machine.w
 	accepted := p.offer.incarnation == w.incarnations && p.offer.acceptRead
-	if !accepted && p.claimedFrom != w.incarnations {
+	if !accepted && p.claimReadBy != w.incarnations {
 		return
 	}
 	began, incarnation := w.now(), w.incarnations
-	w.network.After(shortReleaseLimit+wireSlack, func() {
+	w.network.After(readEndReportLimit+wireSlack, func() {
 		w.network.After(w.stalledWithin(began, w.now()), func() {
 			if w.incarnations == incarnation {
-				w.checkToldSoon(p, began)
+				w.checkReportedSoon(p, began)
 			}
 		})
 	})
 }
 
-// checkToldSoon checks that a client was told, where one was there all the time and no client left its input unread.
+// checkReportedSoon checks that a client was told, where one was there all the time and no client left its input unread.
 // Clients that make up claims may be told before others, but not before the one that asked for the container.
-func (w *World) checkToldSoon(p *placement, began time.Duration) {
-	if !p.known || p.told || p.ordered || p.unknowable || w.termAt != 0 || w.killed || w.unreadEnd >= began {
+func (w *World) checkReportedSoon(p *placement, began time.Duration) {
+	if !p.acceptDelivered || p.endReported || p.cancelled || p.endNotOwed || w.termAt != 0 || w.killed || w.unreadEnd >= began {
 		return
 	}
 	asker := p.request.client
 	couldBeTold := func(c *client) bool {
-		mayBeFirst := w.liedIn != w.incarnations || c == asker && p.offer.incarnation == w.incarnations
-		return mayBeFirst && c.couldBeToldSince(began)
+		mayBeFirst := w.falseClaimReadBy != w.incarnations || c == asker && p.offer.incarnation == w.incarnations
+		return mayBeFirst && c.couldBeNotifiedSince(began)
 	}
 	if slices.ContainsFunc(w.clients, couldBeTold) {
-		w.judge.violate(ruleRelease, "the end of container %s on %s was read %v ago, and told to no client",
-			p.request.call, p.machine.id, w.now()-began)
+		w.checker.report(ruleEndReport, "the end of container %s on %s was read %v ago, and told to no client",
+			p.request.id, p.machine.id, w.now()-began)
 	}
 }
 
-// couldBeToldSince reports whether the process has served the client before a time and ever since.
-func (c *client) couldBeToldSince(began time.Duration) bool {
+// couldBeNotifiedSince reports whether the process has served the client before a time and ever since.
+func (c *client) couldBeNotifiedSince(began time.Duration) bool {
 	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= began && !c.conn.IsEnded() && !c.conn.Congested()
 }
--- a/internal/testbed/platformcheck/responses.go
+++ b/internal/testbed/platformcheck/responses.go
@@ -13,7 +13,7 @@
 	respondAccept response = iota
 	respondFull
 	respondError
-	respondBroken
+	respondTemporaryFailure
 	respondNotSent
 	respondNothing
 	respondLate
@@ -37,11 +37,11 @@
 }
 
 const (
-	serviceTime = 3 * time.Millisecond
-	lateBy      = 900 * time.Millisecond
-	evictAfter  = 80 * time.Millisecond
+	serviceTime       = 3 * time.Millisecond
+	lateResponseDelay = 900 * time.Millisecond
+	evictionDelay     = 80 * time.Millisecond
 
-	unknownCall = "ffffffffffffffff"
+	unknownRequestID = "ffffffffffffffff"
 )
 
 // play responds to an offer, after the time that the machine needs.
@@ -53,11 +53,11 @@
 	case respondReset:
 		after = 0
 	case respondLate:
-		after = lateBy
+		after = lateResponseDelay
 	default: // answered at the usual speed
 	}
 	c.machine.w.network.After(after, func() {
-		if o.overAt == 0 && c.open {
+		if o.finishedAt == 0 && c.open {
 			r.answer(c, o)
 		}
 	})
@@ -65,42 +65,42 @@
 
 // answer writes the answer to an offer that is still out.
 func (r response) answer(c *machineConn, o *offer) {
-	call := o.request.call
+	call := o.request.id
 	switch r {
 	case respondFull:
-		c.refuse(o, notedEndLine(call, jsonlines.CauseNoCapacity, "cpu_full"))
+		c.reject(o, endLineWithNote(call, jsonlines.CauseNoCapacity, "cpu_full"))
 	case respondNotSent:
-		c.refuse(o, endLine(call, jsonlines.CauseNotSent))
+		c.reject(o, endLine(call, jsonlines.CauseNotSent))
 	case respondError:
 		c.fail(o, endLine(call, jsonlines.CauseError))
-	case respondBroken:
+	case respondTemporaryFailure:
 		c.fail(o, endLine(call, jsonlines.CauseTemporaryFailure))
 	case respondEvicted:
-		c.fail(o, notedEndLine(call, jsonlines.CauseTemporaryFailure, "oom"))
+		c.fail(o, endLineWithNote(call, jsonlines.CauseTemporaryFailure, "oom"))
 	case respondReset:
 		c.reset()
 	case respondGarbled:
 		c.fail(o, `{"op":"accept","call":"`+"\n")
 	case respondOtherFirst:
-		c.write(acceptLine(unknownCall, "another"))
+		c.write(acceptLine(unknownRequestID, "another"))
 		c.accept(o)
 	default:
 		c.acceptAnd(o, r)
 	}
 }
 
-// refuse says that an offer never ran.
-func (c *machineConn) refuse(o *offer, line string) {
+// reject says that an offer never ran.
+func (c *machineConn) reject(o *offer, line string) {
 	o.finish()
-	o.refused = true
-	o.release(o.overAt)
-	c.writeMarked(line, func() { o.refusalRead = true })
+	o.rejected = true
+	o.release(o.finishedAt)
+	c.writeMarked(line, func() { o.rejectionRead = true })
 }
 
 // fail says that an offer went wrong; it may have run.
 func (c *machineConn) fail(o *offer, line string) {
 	o.finish()
-	o.release(o.overAt)
+	o.release(o.finishedAt)
 	c.write(line)
 }
 
@@ -108,7 +108,7 @@
 func (c *machineConn) accept(o *offer) *placement {
 	o.finish()
 	p := c.machine.start(o, c)
-	c.writeMarked(acceptLine(o.request.call, p.description), func() { o.acceptRead = true })
+	c.writeMarked(acceptLine(o.request.id, p.description), func() { o.acceptRead = true })
 	return p
 }
 
@@ -118,14 +118,14 @@
 	m := c.machine
 	switch r {
 	case respondTwice:
-		c.write(acceptLine(o.request.call, p.description))
+		c.write(acceptLine(o.request.id, p.description))
 	case respondAcceptAndEnd:
 		m.finish(p, jsonlines.CauseNormal)
 	case respondAcceptAndClose:
 		c.close()
 		c.conn.Close()
 	case respondEvictsLater:
-		m.w.network.After(evictAfter, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
+		m.w.network.After(evictionDelay, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
 	default: // nothing follows
 	}
 }
--- a/internal/testbed/platformcheck/settings.go
+++ b/internal/testbed/platformcheck/settings.go
@@ -40,12 +40,12 @@
 var zoneNames = [...]string{"hall a", "hall b"}
 
 // settingsJSON has a class of each effect; what the form says differs from run to run.
-func settingsJSON(form worldForm) string {
+func settingsJSON(form worldParams) string {
 	ms := form.deadline.Milliseconds()
 	var scopes, most []string
 	for _, limit := range form.spread {
 		scopes = append(scopes, strconv.Quote(string(limit.settingsScope())))
-		most = append(most, strconv.Itoa(limit.most))
+		most = append(most, strconv.Itoa(limit.maxContainers))
 	}
 	cold := form.slowStart
 	return fmt.Sprintf(`{"me":%d,"balancers":%d,"az":0,"azs":[%q,%q],"kinds":[%q],"registry_mode":"on_request",
@@ -68,7 +68,7 @@
 }
 
 // configJSON is the platform's file of an incarnation.
-func configJSON(seed uint64, bus netip.AddrPort, form worldForm, known []string) string {
+func configJSON(seed uint64, bus netip.AddrPort, form worldParams, known []string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":64,"sockets":%d},
  "bus":%q,"known":{"offset":%d,"batch":[%s]},"settings":%s}`,
 		processAddr, seed, form.descriptors, bus, len(known), strings.Join(known, ","), settingsJSON(form))
@@ -76,8 +76,8 @@
 
 // Addresses of the simulation.
 var (
-	processAddr = netip.MustParseAddrPort("10.0.0.1:5000")
-	busAddrs    = [...]netip.AddrPort{
+	processAddr    = netip.MustParseAddrPort("10.0.0.1:5000")
+	discoveryAddrs = [...]netip.AddrPort{
 		netip.MustParseAddrPort("10.0.1.1:6000"), netip.MustParseAddrPort("10.0.1.2:6000"),
 	}
 )
--- a/internal/testbed/platformcheck/slowstartjudge.go
+++ b/internal/testbed/platformcheck/slowstartjudge.go
@@ -11,48 +11,48 @@
 	connectTimeout    time.Duration // of the process's connections to machines
 }
 
-// part is the most of a machine's budget that one scheduler can have where all have equal parts, and the remainder goes
+// schedulerShare is the most of a machine's budget that one scheduler can have where all have equal parts, and the remainder goes
 // to some of them.
-func (s slowStart) part() int { return (s.budget + s.schedulers - 1) / s.schedulers }
+func (s slowStart) schedulerShare() int { return (s.budget + s.schedulers - 1) / s.schedulers }
 
 // slowStartCheckDelay is when what was sent to a machine is checked: by then it has heard what was sent before.
 const slowStartCheckDelay = 20 * time.Millisecond
 
-// starts notes that the machine starts, of which the process is to read yet.
-func (m *machine) starts() {
-	m.bornMillis, m.bornAt, m.startReadAt = m.w.kernel.Now().UnixMilli(), m.w.now(), 0
+// recordStart notes that the machine recordStart, of which the process is to read yet.
+func (m *machine) recordStart() {
+	m.startMillis, m.startedAt, m.startReadAt = m.w.kernel.Now().UnixMilli(), m.w.now(), 0
 }
 
-// startIsRead notes that the process has read of the machine's last start, if it is not one of long ago.
-func (m *machine) startIsRead() {
-	if m.bornMillis > 0 && m.startReadAt == 0 {
+// recordStartRead notes that the process has read of the machine's last start, if it is not one of long ago.
+func (m *machine) recordStartRead() {
+	if m.startMillis > 0 && m.startReadAt == 0 {
 		m.startReadAt = m.w.now()
 	}
 }
 
-// isCold reports whether the machine is in slow start at a time, and the process has read of that start before. What it
+// inSlowStart reports whether the machine is in slow start at a time, and the process has read of that start before. What it
 // sends in the iteration in which it reads of it may have been sent first.
-func (m *machine) isCold(at time.Duration) bool {
-	return m.startReadAt != 0 && at > m.startReadAt && at < m.bornAt+m.w.form.slowStart.period
+func (m *machine) inSlowStart(at time.Duration) bool {
+	return m.startReadAt != 0 && at > m.startReadAt && at < m.startedAt+m.w.params.slowStart.period
 }
 
-// sent takes in an offer or a probe to the machine.
-func (m *machine) sent(line receivedLine) {
-	if line.heldUp() {
+// recordSend takes in an offer or a probe to the machine.
+func (m *machine) recordSend(line receivedLine) {
+	if line.mayBeDelayed() {
 		return
 	}
 	at := line.first.WrittenAt
 	m.sends = append(m.sends, at)
-	m.w.network.After(slowStartCheckDelay, func() { m.w.judge.checkSlowStart(m, at) })
+	m.w.network.After(slowStartCheckDelay, func() { m.w.checker.checkSlowStart(m, at) })
 }
 
 // checkSlowStart counts what the process has sent to a machine in slow start, in the window that ends with a send. The
 // time in which the process was not run does not count: what was sent before it may have been meant for earlier.
-func (j *judge) checkSlowStart(m *machine, at time.Duration) {
-	if !m.isCold(at) {
+func (j *checker) checkSlowStart(m *machine, at time.Duration) {
+	if !m.inSlowStart(at) {
 		return
 	}
-	terms := m.w.form.slowStart
+	terms := m.w.params.slowStart
 	began := at - terms.window
 	began += m.w.stalledWithin(began, at)
 	count := 0
@@ -61,10 +61,10 @@
 			count++
 		}
 	}
-	if count > terms.part() {
-		j.violate(ruleSlowStart,
+	if count > terms.schedulerShare() {
+		j.report(ruleSlowStart,
 			"%s, in slow start for %v, is sent %d offers and probes in %v, its budget is %d, %d of one scheduler",
-			m.id, at-m.bornAt, count, terms.window, terms.budget, terms.part())
+			m.id, at-m.startedAt, count, terms.window, terms.budget, terms.schedulerShare())
 	}
 }
 
--- a/internal/testbed/platformcheck/spreadjudge.go
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -17,8 +17,8 @@
 
 // spreadLimit is how many containers of a service may be in one scope. The zero value is no limit.
 type spreadLimit struct {
-	scope scope
-	most  int
+	scope         scope
+	maxContainers int
 }
 
 func (l spreadLimit) isSet() bool { return l.settingsScope() != scopeNone }
@@ -31,8 +31,8 @@
 	return l.scope
 }
 
-// shared reports whether two machines lie in one scope.
-func (l spreadLimit) shared(a, b *machine) bool {
+// sameScope reports whether two machines lie in one scope.
+func (l spreadLimit) sameScope(a, b *machine) bool {
 	switch l.scope {
 	case scopeMachine:
 		return a == b
@@ -50,8 +50,8 @@
 	spreadCheckDelay = 20 * time.Millisecond
 	// releaseSlack covers what the process has ended of itself, and a machine hears of later.
 	releaseSlack = 20 * time.Millisecond
-	// doubtSlack is how long after a fault the process may yet read what the fault has caused.
-	doubtSlack = 200 * time.Millisecond
+	// uncertaintySlack is how long after a fault the process may yet read what the fault has caused.
+	uncertaintySlack = 200 * time.Millisecond
 )
 
 // release notes that the process may not count the offer any more, from a moment on.
@@ -63,44 +63,46 @@
 
 // releaseBy notes a line by which the process ends the offer. One that was held up may have been meant earlier.
 func (o *offer) releaseBy(line receivedLine) {
-	if line.heldUp() {
+	if line.mayBeDelayed() {
 		o.release(o.writtenAt)
 		return
 	}
 	o.release(line.first.WrittenAt)
 }
 
-// doubtUntil has what runs on the machine, and what is sent to it, up to a time count as possibly lost to the process.
-func (m *machine) doubtUntil(moment time.Duration) { m.doubtEnd = max(m.doubtEnd, moment+doubtSlack) }
+// extendUncertainty has what runs on the machine, and what is sent to it, up to a time count as possibly lost to the process.
+func (m *machine) extendUncertainty(moment time.Duration) {
+	m.uncertainUntil = max(m.uncertainUntil, moment+uncertaintySlack)
+}
 
 // checkSpread counts what the process knows of a service in the scope of an offer's machine, with this offer: what it
 // has sent there and has neither a refusal nor an end of, and what clients have named as running there.
-func (j *judge) checkSpread(o *offer) {
+func (j *checker) checkSpread(o *offer) {
 	limit := o.request.spread
-	if !limit.isSet() || o.heldUp {
+	if !limit.isSet() || o.mayBeDelayed {
 		return
 	}
 	count := 0
 	for _, other := range j.offersOf[o.request.service] {
-		if limit.shared(other.machine, o.machine) && (other == o || other.countedWith(o)) {
+		if limit.sameScope(other.machine, o.machine) && (other == o || other.countsToward(o)) {
 			count++
 		}
 	}
-	if count > limit.most {
-		j.violate(ruleSpread, "request %s is offered to %s as number %d of service %s in one %s, %d are allowed",
-			o.request.call, o.machine.id, count, o.request.service, limit.scope, limit.most)
+	if count > limit.maxContainers {
+		j.report(ruleSpread, "request %s is offered to %s as number %d of service %s in one %s, %d are allowed",
+			o.request.id, o.machine.id, count, o.request.service, limit.scope, limit.maxContainers)
 	}
 }
 
-// countedWith reports whether the process counts an offer when it sends a later one.
-func (o *offer) countedWith(later *offer) bool {
-	knownAt, known := o.knownTo(later.incarnation)
+// countsToward reports whether the process counts an offer when it sends a later one.
+func (o *offer) countsToward(later *offer) bool {
+	knownAt, known := o.knownSince(later.incarnation)
 	switch {
 	case !known || knownAt > later.writtenAt:
 		return false
-	case o.request.liedAbout, o.claimMayBeLeftOut(later.incarnation):
+	case o.request.falselyClaimed, o.claimMayBeDropped(later.incarnation):
 		return false
-	case o.machine.heardOf == 0, o.writtenAt <= max(o.machine.heardOf, o.machine.doubtEnd):
+	case o.machine.firstReadAt == 0, o.writtenAt <= max(o.machine.firstReadAt, o.machine.uncertainUntil):
 		return false
 	case o.writtenAt == later.writtenAt && later.isReleasedBy(o.writtenAt):
 		return false // that one was sent and ended first
@@ -108,10 +110,10 @@
 	return !o.isReleasedBy(later.writtenAt + releaseSlack)
 }
 
-// claimMayBeLeftOut reports whether an incarnation of the process knows the container from a claim alone, and may have
+// claimMayBeDropped reports whether an incarnation of the process knows the container from a claim alone, and may have
 // left that out for made-up ones.
-func (o *offer) claimMayBeLeftOut(incarnation int) bool {
-	return o.incarnation != incarnation && o.machine.liedIn == incarnation
+func (o *offer) claimMayBeDropped(incarnation int) bool {
+	return o.incarnation != incarnation && o.machine.falseClaimReadBy == incarnation
 }
 
 // isReleasedBy reports whether the process need not count the offer any more at a time. It may take the end of an
@@ -126,14 +128,14 @@
 	})
 }
 
-// knownTo is since when an incarnation of the process counts an offer: it has sent it, or was told by a client that its
+// knownSince is since when an incarnation of the process counts an offer: it has sent it, or was told by a client that its
 // container runs. What it sends in the iteration in which it reads that may have been sent first.
-func (o *offer) knownTo(incarnation int) (since time.Duration, known bool) {
+func (o *offer) knownSince(incarnation int) (since time.Duration, known bool) {
 	switch {
 	case o.incarnation == incarnation:
 		return o.writtenAt, true
-	case o.placement != nil && o.placement.claimedFrom == incarnation:
-		return o.placement.claimedAt + 1, true
+	case o.placement != nil && o.placement.claimReadBy == incarnation:
+		return o.placement.claimReadAt + 1, true
 	}
 	return 0, false
 }
--- a/internal/testbed/trials/interleavings/interleavings_test.go
+++ b/internal/testbed/trials/interleavings/interleavings_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// The trial passes as the process is, and fails with a fault in it, of which it prints the events that show it.
+// The trial passes without a fault. With an injected fault it fails and prints the events that reveal the fault.
 func TestTrialPassesAndFailsWithAFault(t *testing.T) {
 	var out bytes.Buffer
 	passing := &Trial{Events: 1200, Workers: 2, Faults: []platformcheck.Fault{platformcheck.LeakedDescriptor}}
@@ -20,7 +20,7 @@
 		testutil.Expect(t, strings.Contains(out.String(), wanted), "%q is missing in\n%s", wanted, out.String())
 	}
 	out.Reset()
-	failing := &Trial{Events: 12_000, Workers: 2, Fault: platformcheck.UnheardDrain}
+	failing := &Trial{Events: 12_000, Workers: 2, Fault: platformcheck.IgnoredDrain}
 	err := trials.Run(failing, trials.Setup{}, &out)
 	testutil.Expect(t, errors.Is(err, trials.ErrFailed), "ended by %v", err)
 	for _, wanted := range []string{"reduced to", "a machine drains", "rule 3", "\ntrial platform: FAILED a rule"} {
