--- a/internal/testbed/trials/bgp/bgp.go
+++ b/internal/testbed/trials/bgp/bgp.go
@@ -1,4 +1,4 @@
-// Package bgp is the trial of the addresses that schedulers announce while containers run.
+// Package bgp is the trial of the service addresses that schedulers announce by BGP while containers run.
 package bgp
 
 import (
@@ -10,9 +10,10 @@
 	"glenport/internal/testbed/trials"
 )
 
-// Trial starts a cluster whose scheduler announces addresses to two emulated peers, and checks what they receive.
+// Trial starts a cluster whose scheduler announces service addresses to two emulated peers, and checks the updates that
+// the peers receive.
 type Trial struct {
-	Rounds int
+	Rounds int // of ends
 
 	*trials.Runner
 	cluster *cluster.Cluster
@@ -28,7 +29,7 @@
 
 const (
 	withdrawalLimit = 2 * time.Second
-	bgpTimeout      = 20 * time.Second // of all that is waited for
+	bgpTimeout      = 20 * time.Second // of every condition that is awaited
 )
 
 // The services of the steps.
@@ -37,7 +38,7 @@
 	drainService
 	resetService
 	protocolErrorService
-	surviveService
+	survivingService
 	endWhileDownService
 	partitionService
 )
@@ -67,18 +68,18 @@
 		return err
 	}
 	defer t.client.close()
-	return t.Play(
-		trials.Step{Name: "ends", Play: t.playEnds},
-		trials.Step{Name: "a container that flaps 50 times a second", Play: t.playFlaps},
-		trials.Step{Name: "drained route is the last choice first", Play: t.playDrain},
-		trials.Step{Name: "reset while the last container fails", Play: t.playResetAndFailure},
-		trials.Step{Name: "garbage, a partial message, silence, a wrong AS", Play: t.playProtocolErrors},
-		trials.Step{Name: "zone partitioned and back", Play: t.playPartition},
-		trials.Step{Name: "scheduler killed by SIGKILL and back", Play: t.playSchedulerKill},
+	return t.RunSteps(
+		trials.Step{Name: "ends", Run: t.runEnds},
+		trials.Step{Name: "service that flaps 50 times a second", Run: t.runFlaps},
+		trials.Step{Name: "route becomes the last choice before its withdrawal", Run: t.runDrain},
+		trials.Step{Name: "reset while the last container fails", Run: t.runResetAndFailure},
+		trials.Step{Name: "garbage, partial message, silence, wrong AS", Run: t.runProtocolErrors},
+		trials.Step{Name: "zone partitioned and reconnected", Run: t.runPartition},
+		trials.Step{Name: "scheduler killed by SIGKILL and restarted", Run: t.runSchedulerKill},
 	)
 }
 
-// waitUntil waits, in short steps, until a condition holds.
+// waitUntil polls a condition at short intervals until it holds.
 func (t *Trial) waitUntil(what string, holds func() bool) error {
 	return process.Poll(2*time.Millisecond, bgpTimeout, what, holds)
 }
--- a/internal/testbed/trials/bgp/client.go
+++ b/internal/testbed/trials/bgp/client.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testbed/process"
 )
 
-// The workload classes of the containers, as numbered by the scheduler's settings.
+// The workload classes of the containers, by their index in the scheduler's settings.
 const (
 	idempotentClass = 0
 	atMostOnceClass = 2
@@ -22,11 +22,11 @@
 	placementLimit = 6 * time.Second          // until a submission has its reply
 )
 
-// client submits containers to the scheduler and hands each reply to the submission that waits for it.
+// client submits containers to the scheduler and passes each reply to the submission that waits for it.
 type client struct {
 	connection net.Conn
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	replies       map[string]chan *protocol.PlacementReply
 	lastContainer int
 }
@@ -48,7 +48,7 @@
 
 func (c *client) close() { loopback.CloseQuietly(c.connection) }
 
-// readReplies hands on replies until the connection ends.
+// readReplies passes on replies until the connection ends.
 func (c *client) readReplies() {
 	for {
 		reply, err := process.ReadUntil[*protocol.PlacementReply](c.connection)
@@ -67,7 +67,7 @@
 
 func (c *client) send(frame protocol.Frame) error { return process.WriteFrames(c.connection, frame) }
 
-// expectReply returns the name of a new container and the channel that its reply will come on.
+// expectReply returns the ID of a new container and the channel that receives its reply.
 func (c *client) expectReply() (id string, reply chan *protocol.PlacementReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,7 @@
 	return c.placeWorkload(service, idempotentClass, runtime)
 }
 
-// placeWorkload does so with a container of a workload class.
+// placeWorkload starts a container of a service and a workload class and waits until it is placed.
 func (c *client) placeWorkload(service, class int, runtime time.Duration) (id, machine string, err error) {
 	id, waiting := c.expectReply()
 	if err := c.send(&protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{
@@ -103,6 +103,6 @@
 		}
 		return id, reply.Machine, nil
 	case <-time.After(placementLimit):
-		return id, "", fmt.Errorf("%s was not answered", id)
+		return id, "", fmt.Errorf("no reply for %s in time", id)
 	}
 }
--- a/internal/testbed/trials/bgp/drain.go
+++ b/internal/testbed/trials/bgp/drain.go
@@ -8,9 +8,9 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// playDrain marks the machine of a lone container as draining: its route must become the last choice before it is
-// withdrawn.
-func (t *Trial) playDrain() (string, error) {
+// runDrain marks the machine of the only container of a service as draining. The service's route must become the last
+// choice before it is withdrawn.
+func (t *Trial) runDrain() (string, error) {
 	id, machine, err := t.client.place(drainService, time.Hour)
 	if err != nil {
 		return "", err
@@ -30,7 +30,7 @@
 	defer t.cluster.List.SetState(m, protocol.MachineServing)
 	for k, p := range t.peers {
 		if err := t.waitShutdownAnnounced(p); err != nil {
-			t.Missf("peer %d: %v", k, err)
+			t.Failf("peer %d: %v", k, err)
 		}
 	}
 	took := time.Since(began)
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("announced as the last choice %d ms after the drain began", took.Milliseconds()), nil
 }
 
-// waitShutdownAnnounced waits until a peer has the draining service's route as the last choice.
+// waitShutdownAnnounced waits until a peer has received the route of the draining service as the last choice.
 func (t *Trial) waitShutdownAnnounced(p *emulator.BGPPeer) error {
 	lastChoice := false
 	return t.waitUntil("the route is the last choice", func() bool {
--- a/internal/testbed/trials/bgp/ends.go
+++ b/internal/testbed/trials/bgp/ends.go
@@ -11,7 +11,7 @@
 
 const endsPerRound = 50
 
-// containerEnds holds when containers ended, by the machines' own clocks.
+// containerEnds holds the times at which containers ended, as their machines reported them.
 type containerEnds struct {
 	mu sync.Mutex
 	at map[string]time.Time
@@ -26,21 +26,23 @@
 	e.at[container] = at
 }
 
-// of returns when a container ended, and the zero time while it runs.
+// of returns the time at which a container ended, and the zero time while it runs.
 func (e *containerEnds) of(container string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.at[container]
 }
 
-// withdrawals measures how long peers take to withdraw a route after its last container's end.
+// withdrawals measures the delay from the end of a service's last container until peers receive the withdrawal of its
+// route.
 type withdrawals struct {
 	delays         *hdrhistogram.Histogram // milliseconds
 	count, updates int
 }
 
-// playEnds lets the last container behind each address end again and again, and measures until both peers know it.
-func (t *Trial) playEnds() (string, error) {
+// runEnds repeatedly lets the last container of each service end, and measures the delay until both peers have received
+// the withdrawal.
+func (t *Trial) runEnds() (string, error) {
 	measured := &withdrawals{delays: hdrhistogram.New(1, 60_000, 3)}
 	for round := range t.Rounds {
 		first := round * endsPerRound % firstReservedService
@@ -55,7 +57,7 @@
 	}
 	expected := t.Rounds * endsPerRound * len(t.peers)
 	if measured.count < expected {
-		t.Missf("%d withdrawals for %d ends at %d peers", measured.count, t.Rounds*endsPerRound, len(t.peers))
+		t.Failf("%d withdrawals for %d ends at %d peers", measured.count, t.Rounds*endsPerRound, len(t.peers))
 	}
 	return fmt.Sprintf(
 		"%d ends at %d peers, withdrawn after p50 %d ms, p99 %d ms, worst %d ms; %.1f updates an end and peer",
@@ -68,7 +70,7 @@
 	), nil
 }
 
-// placeRound places one container of each of a round's services and returns their names.
+// placeRound places one container of each service of a round and returns their IDs.
 func (t *Trial) placeRound(first int) ([]string, error) {
 	ids := make([]string, endsPerRound)
 	errs := make([]error, endsPerRound)
@@ -110,9 +112,9 @@
 			service := int(update.Prefix.Addr().As4()[3])
 			late := update.At.Sub(t.ends.of(ids[service-first]))
 			measured.count++
-			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // longer than its range is a miss below
+			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // a value beyond its range fails the check
 			if late > withdrawalLimit {
-				t.Missf("peer %d received the withdrawal of %s %v after its last container's end",
+				t.Failf("peer %d received the withdrawal of %s %v after its last container's end",
 					k, update.Prefix, late)
 			}
 		}
--- a/internal/testbed/trials/bgp/flaps.go
+++ b/internal/testbed/trials/bgp/flaps.go
@@ -9,11 +9,11 @@
 
 const (
 	minUpdateInterval = time.Second
-	clockTolerance    = 30 * time.Millisecond // between a peer's reading and the scheduler's writing
+	clockTolerance    = 30 * time.Millisecond // for the delay from the scheduler's write to the peer's read
 )
 
-// playFlaps starts and ends containers of one service fifty times a second for eight seconds.
-func (t *Trial) playFlaps() (string, error) {
+// runFlaps starts and ends containers of one service fifty times a second for eight seconds.
+func (t *Trial) runFlaps() (string, error) {
 	const flaps = 400
 	for _, p := range t.peers {
 		p.Changes()
@@ -22,7 +22,7 @@
 	for i := range flaps {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * 20 * time.Millisecond)))
 		go func() {
-			// under this load some may be rejected; the route is what counts
+			// some containers may be rejected under this load; only the route is checked
 			_, _, _ = t.client.place(flapService, 10*time.Millisecond)
 		}()
 	}
@@ -33,18 +33,19 @@
 		shortest = min(shortest, gap)
 		updates += n
 		if announced(p, flapService) {
-			t.Missf("peer %d still has the route of a service without a container", k)
+			t.Failf("peer %d still has the route of a service without a running container", k)
 		}
 	}
 	return fmt.Sprintf(
-		"%d starts, %.1f updates a peer, none within %d ms of another",
+		"%d starts, %.1f updates a peer, at least %d ms apart",
 		flaps,
 		float64(updates)/float64(len(t.peers)),
 		shortest.Milliseconds(),
 	), nil
 }
 
-// checkUpdateInterval returns the shortest time between two updates of the flapping service, and their number.
+// checkUpdateInterval checks the time between two updates of the flapping service at a peer. It returns the shortest
+// such time and the number of updates.
 func (t *Trial) checkUpdateInterval(peer int, p *emulator.BGPPeer) (shortest time.Duration, updates int) {
 	shortest = time.Hour
 	var last time.Time
@@ -56,7 +57,7 @@
 		if gap := update.At.Sub(last); !last.IsZero() {
 			shortest = min(shortest, gap)
 			if gap < minUpdateInterval-clockTolerance {
-				t.Missf("peer %d received two updates of %s within %v", peer, update.Prefix, gap)
+				t.Failf("peer %d received two updates of %s within %v", peer, update.Prefix, gap)
 			}
 		}
 		last = update.At
--- a/internal/testbed/trials/bgp/machinefailure.go
+++ b/internal/testbed/trials/bgp/machinefailure.go
@@ -8,11 +8,11 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// playResetAndFailure resets a session in the moment in which the machine of the last container fails. When the
-// session is back the route must not be there.
-func (t *Trial) playResetAndFailure() (string, error) {
+// runResetAndFailure resets a session at the moment at which the machine of the last container of a service fails. The
+// re-established session must not have the service's route.
+func (t *Trial) runResetAndFailure() (string, error) {
 	const tries = 5
-	var crashed []*emulator.Machine // they stay down to the end, so that each try has another machine
+	var crashed []*emulator.Machine // stay down until the end, so that each try has another machine
 	worst := time.Duration(0)
 	for range tries {
 		m, late, err := t.resetAndFail()
@@ -28,7 +28,7 @@
 		return "", err
 	}
 	return fmt.Sprintf(
-		"%d times, the route withdrawn at most %d ms after the machine failed",
+		"%d times, the route was withdrawn at most %d ms after the machine failed",
 		tries,
 		worst.Milliseconds(),
 	), nil
@@ -42,8 +42,8 @@
 	return errors.Join(errs...)
 }
 
-// resetAndFail does it once. It returns the machine that it crashed and the longer of the times until the peers had
-// withdrawn the route.
+// resetAndFail does one such reset and failure. It returns the crashed machine and the longest delay until a peer had
+// received the withdrawal of the route.
 func (t *Trial) resetAndFail() (crashed *emulator.Machine, worst time.Duration, err error) {
 	id, machine, err := t.client.place(resetService, time.Hour)
 	if err != nil {
@@ -68,13 +68,13 @@
 	}
 	for k, p := range t.peers {
 		if err := t.waitWithdrawn("the route is withdrawn", p, resetService); err != nil {
-			t.Missf("peer %d: %v", k, err)
+			t.Failf("peer %d: %v", k, err)
 			continue
 		}
 		late := time.Since(t.ends.of(id))
 		worst = max(worst, late)
-		if p == other && late > withdrawalLimit { // its session was up all the while
-			t.Missf("peer %d received the withdrawal %v after the machine failed", k, late)
+		if p == other && late > withdrawalLimit { // the session of this peer was not reset
+			t.Failf("peer %d received the withdrawal %v after the machine failed", k, late)
 		}
 	}
 	return m, worst, nil
--- a/internal/testbed/trials/bgp/partition.go
+++ b/internal/testbed/trials/bgp/partition.go
@@ -9,9 +9,10 @@
 	"glenport/internal/testbed/faultproxy"
 )
 
-// playPartition cuts the zone of an at-most-once container off. Its route must be withdrawn when the scheduler takes it
-// as lost, and be announced again with it, as it ran on.
-func (t *Trial) playPartition() (string, error) {
+// runPartition cuts off the zone in which an at-most-once container runs. The service's route must be withdrawn when
+// the scheduler considers the container lost. After the partition the container still runs, and the route must be
+// announced again.
+func (t *Trial) runPartition() (string, error) {
 	const service = partitionService
 	id, machine, err := t.client.placeWorkload(service, atMostOnceClass, time.Hour)
 	if err != nil {
@@ -40,7 +41,7 @@
 		return "", err
 	}
 	if !t.ends.of(id).IsZero() {
-		t.Missf("the partition ended the container")
+		t.Failf("the partition ended the container")
 	}
 	back := time.Since(began)
 	if err := t.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: id}); err != nil {
--- a/internal/testbed/trials/bgp/peers.go
+++ b/internal/testbed/trials/bgp/peers.go
@@ -12,15 +12,15 @@
 	"glenport/scheduler"
 )
 
-// The autonomous systems of the scheduler and of the peers.
+// The AS numbers of the scheduler and of the peers.
 const (
 	schedulerAS = 65001
 	peerAS      = 65000
 )
 
 const (
-	services = 250
-	// each step but the first has services of its own from here on: those before are damped by their many ends
+	serviceCount = 250
+	// Steps after the first use services from here on, because the routes of the others are damped by their many ends.
 	firstReservedService = 200
 )
 
@@ -32,12 +32,12 @@
 	return has
 }
 
-// sessionCount is how many sessions the peer has had.
+// sessionCount returns the number of sessions that the peer has had.
 func sessionCount(p *emulator.BGPPeer) int {
 	return p.Stats().Sessions
 }
 
-// startPeers starts the peers and returns the settings by which a scheduler announces its services to them.
+// startPeers starts the peers and returns the settings with which a scheduler announces its services to them.
 func (t *Trial) startPeers() (*config.BGP, error) {
 	settings := &config.BGP{
 		ASN:      schedulerAS,
@@ -45,7 +45,7 @@
 		Services: map[string]announce.Service{},
 	}
 	nextHop := netip.AddrFrom4(settings.RouterID)
-	for i := range services {
+	for i := range serviceCount {
 		settings.Services[serviceName(i)] = announce.Service{Prefix: prefix(i), NextHop: nextHop}
 	}
 	for i := range 2 {
@@ -83,7 +83,7 @@
 
 // waitAnnounced waits until a peer has the route of a service.
 func (t *Trial) waitAnnounced(p *emulator.BGPPeer, service int) error {
-	return t.waitUntil("it is announced", func() bool { return announced(p, service) })
+	return t.waitUntil("the route is announced", func() bool { return announced(p, service) })
 }
 
 // waitWithdrawn waits until a peer has no route of a service.
--- a/internal/testbed/trials/bgp/protocolerrors.go
+++ b/internal/testbed/trials/bgp/protocolerrors.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// protocolError is one way in which a peer breaks the protocol.
+// protocolError is a way in which a peer violates the protocol.
 type protocolError struct {
 	name       string
 	start, end func()
@@ -18,7 +18,7 @@
 	endSilence := func() { p.SetSilent(false) }
 	return []protocolError{
 		{"garbage", p.SendGarbage, func() {}},
-		{"half a message, then silence", func() { p.SendPartial(); p.SetSilent(true) }, endSilence},
+		{"a partial message, then silence", func() { p.SendPartial(); p.SetSilent(true) }, endSilence},
 		{"silence", func() { p.SetSilent(true) }, endSilence},
 		{
 			"another AS",
@@ -28,9 +28,9 @@
 	}
 }
 
-// playProtocolErrors has a peer break the protocol: its session ends and is established again, the other peer's is not
-// touched.
-func (t *Trial) playProtocolErrors() (string, error) {
+// runProtocolErrors has one peer violate the protocol. Its session must end and be established again; the session of
+// the other peer must not be affected.
+func (t *Trial) runProtocolErrors() (string, error) {
 	const service = protocolErrorService
 	id, _, err := t.client.place(service, time.Hour)
 	if err != nil {
@@ -59,12 +59,12 @@
 		}
 	}
 	if sessionCount(good) != goodSessions {
-		t.Missf("the other peer's session was touched")
+		t.Failf("the session of the other peer ended")
 	}
 	if err := t.client.send(&protocol.CancelContainer{ContainerID: id}); err != nil {
 		return "", err
 	}
-	const figures = "each ends its session, which is established again; the other is not touched"
+	const figures = "each ended the session, which was established again; the other session was not affected"
 	return figures, t.waitUntil("the route is withdrawn", func() bool {
 		return !announced(bad, service) && !announced(good, service)
 	})
--- a/internal/testbed/trials/bgp/schedulerkill.go
+++ b/internal/testbed/trials/bgp/schedulerkill.go
@@ -7,10 +7,11 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// playSchedulerKill kills the scheduler while containers of two services run; one ends meanwhile. When the scheduler is
-// back the live one's route must never have been withdrawn, and the other's must be.
-func (t *Trial) playSchedulerKill() (string, error) {
-	if _, _, err := t.client.place(surviveService, time.Hour); err != nil {
+// runSchedulerKill kills the scheduler while containers of two services run. One container ends while the scheduler is
+// down. After the restart, the route of the running container must never have been withdrawn, and that of the ended
+// container must be.
+func (t *Trial) runSchedulerKill() (string, error) {
+	if _, _, err := t.client.place(survivingService, time.Hour); err != nil {
 		return "", err
 	}
 	id, _, err := t.client.place(endWhileDownService, 1500*time.Millisecond)
@@ -18,8 +19,8 @@
 		return "", err
 	}
 	for _, p := range t.peers {
-		if err := t.waitUntil("both are announced", func() bool {
-			return announced(p, surviveService) && announced(p, endWhileDownService)
+		if err := t.waitUntil("both routes are announced", func() bool {
+			return announced(p, survivingService) && announced(p, endWhileDownService)
 		}); err != nil {
 			return "", err
 		}
@@ -27,7 +28,9 @@
 	}
 	scheduler := t.cluster.Schedulers[0]
 	t.cluster.KillScheduler(scheduler)
-	if err := t.waitUntil("a container ends meanwhile", func() bool { return !t.ends.of(id).IsZero() }); err != nil {
+	if err := t.waitUntil("a container ends while the scheduler is down", func() bool {
+		return !t.ends.of(id).IsZero()
+	}); err != nil {
 		return "", err
 	}
 	began := time.Now()
@@ -38,21 +41,21 @@
 		t.checkRoutesAfterRestart(k, p)
 	}
 	return fmt.Sprintf(
-		"routes are right %d ms after its start, the live one was never withdrawn",
+		"routes are correct %d ms after the start, that of the running container was never withdrawn",
 		time.Since(began).Milliseconds(),
 	), nil
 }
 
 func (t *Trial) checkRoutesAfterRestart(peer int, p *emulator.BGPPeer) {
-	if err := t.waitUntil("the route of the ended container is withdrawn and the live one's fresh", func() bool {
-		has, stale := p.Route(prefix(surviveService))
+	if err := t.waitUntil("the ended container's route is withdrawn, the other one is not stale", func() bool {
+		has, stale := p.Route(prefix(survivingService))
 		return has && !stale && !announced(p, endWhileDownService)
 	}); err != nil {
-		t.Missf("peer %d: %v", peer, err)
+		t.Failf("peer %d: %v", peer, err)
 	}
 	for _, update := range p.Changes() {
-		if update.Prefix == prefix(surviveService) && update.Withdrawn {
-			t.Missf("peer %d lost the route of a service that ran all the while", peer)
+		if update.Prefix == prefix(survivingService) && update.Withdrawn {
+			t.Failf("peer %d lost the route of a service that ran without interruption", peer)
 		}
 	}
 }
--- a/internal/testbed/trials/interleavings/interleavings.go
+++ b/internal/testbed/trials/interleavings/interleavings.go
@@ -1,4 +1,5 @@
-// Package interleavings is the trial of the platform's process in random orders of events, on a simulated network.
+// Package interleavings is the trial that plays random orders of events against the platform process on a simulated
+// network.
 package interleavings
 
 import (
@@ -9,16 +10,16 @@
 	"glenport/internal/testbed/trials"
 )
 
-// eventsPerFault bounds the events in which each fault has to be found.
+// eventsPerFault is the number of events within which each fault must be detected.
 const eventsPerFault = 60_000
 
-// Trial plays random orders of events. Then each fault has to be found.
+// Trial plays random orders of events. Afterwards it checks that each of a list of injected faults is detected.
 type Trial struct {
-	Events    int // in all
+	Events    int // total
 	FirstSeed uint64
-	Workers   int                   // that play at the same time
-	Faults    []platformcheck.Fault // that have to be found then
-	Fault     platformcheck.Fault   // if set, it is in the process while the orders are played
+	Workers   int                   // runs that are played in parallel
+	Faults    []platformcheck.Fault // faults that must be detected
+	Fault     platformcheck.Fault   // if set, this fault is injected while the random orders are played
 }
 
 // Verdict implements trials.Trial.
@@ -28,36 +29,38 @@
 
 // Run implements trials.Trial.
 func (t *Trial) Run(runner *trials.Runner, _ trials.Setup) error {
-	steps := []trials.Step{{Name: "random orders", Play: func() (string, error) { return t.playOrders(runner), nil }}}
+	steps := []trials.Step{{
+		Name: "random orders", Run: func() (string, error) { return t.runRandomOrders(runner), nil },
+	}}
 	if len(t.Faults) > 0 {
 		steps = append(steps, trials.Step{
-			Name: "faults", Play: func() (string, error) { return t.findFaults(runner), nil },
+			Name: "faults", Run: func() (string, error) { return t.findFaults(runner), nil },
 		})
 	}
-	return runner.Play(steps...)
+	return runner.RunSteps(steps...)
 }
 
 func (t *Trial) campaign(fault platformcheck.Fault, events int) platformcheck.Campaign {
 	return platformcheck.Campaign{FirstSeed: t.FirstSeed, Events: events, Fault: fault, Workers: t.Workers}
 }
 
-// playOrders plays the random orders. The first that fails is reduced and printed.
-func (t *Trial) playOrders(runner *trials.Runner) (figures string) {
+// runRandomOrders plays the random orders. The first failing order is reduced and printed.
+func (t *Trial) runRandomOrders(runner *trials.Runner) (figures string) {
 	began := time.Now()
 	result := t.campaign(t.Fault, t.Events).Play()
 	elapsed := time.Since(began).Seconds()
 	if result.Failed > 0 {
 		seed := result.First.Run.Seed
 		reduced := platformcheck.Reduce(result.First.Run)
-		runner.Missf("seed %d: %v", seed, reduced.Violations[0])
-		printOrder(runner, seed, reduced)
+		runner.Failf("seed %d: %v", seed, reduced.Violations[0])
+		printReproduction(runner, seed, reduced)
 	}
 	return fmt.Sprintf("%d seeds from %d, %d events, %.0f events a second",
 		result.Seeds, t.FirstSeed, result.Events, float64(result.Events)/elapsed)
 }
 
-// printOrder prints the shortest order of events that fails.
-func printOrder(runner *trials.Runner, seed uint64, reduced platformcheck.Failure) {
+// printReproduction prints the shortest order of events that fails.
+func printReproduction(runner *trials.Runner, seed uint64, reduced platformcheck.Failure) {
 	runner.Printf("seed %d fails, reduced to %d events:\n", seed, len(reduced.Run.Events))
 	for _, event := range reduced.Run.Events {
 		runner.Printf("  %v\n", event)
@@ -65,13 +68,13 @@
 	runner.Printf("  %v\n", reduced.Violations[0])
 }
 
-// findFaults plays each fault until it is found.
+// findFaults plays random orders with each fault until the fault is detected.
 func (t *Trial) findFaults(runner *trials.Runner) (figures string) {
 	found := 0
 	for _, fault := range t.Faults {
 		result := t.campaign(fault, eventsPerFault).Play()
 		if result.Failed == 0 {
-			runner.Missf("fault %s was not found in %d events", fault, result.Events)
+			runner.Failf("fault %s was not found in %d events", fault, result.Events)
 			continue
 		}
 		found++
--- a/internal/testbed/trials/overload/calm.go
+++ b/internal/testbed/trials/overload/calm.go
@@ -7,10 +7,10 @@
 	"glenport/scheduler"
 )
 
-// calmRun counts the containers of a run without a fault.
-type calmRun struct{ inTime, submitted, shed int }
+// baselineRun counts the containers of a simulated run without a fault.
+type baselineRun struct{ inTime, submitted, shed int }
 
-func playCalm(d simulation.Damping) (run calmRun) {
+func playBaseline(d simulation.Damping) (run baselineRun) {
 	s := &simulation.Simulation{
 		Seed:       5,
 		Schedulers: 3,
@@ -28,15 +28,15 @@
 	return run
 }
 
-func (r calmRun) share() float64 { return float64(r.inTime) / float64(r.submitted) }
+func (r baselineRun) share() float64 { return float64(r.inTime) / float64(r.submitted) }
 
-// runCalm plays an ordinary time without and with the limit: it must shed next to nothing and cost no start within the
-// latency objective.
-func (t *Trial) runCalm() (string, error) {
-	const tolerated = 0.01 // of the starts in time
-	without, with := playCalm(simulation.NoDamping), playCalm(simulation.Limited)
+// runBaseline simulates load without a fault, with and without the concurrency limit. The limit must cost almost none of
+// the starts within the latency objective, and should shed almost nothing.
+func (t *Trial) runBaseline() (string, error) {
+	const tolerated = 0.01 // share of the starts within the latency objective
+	without, with := playBaseline(simulation.NoDamping), playBaseline(simulation.Limited)
 	if cost := 1 - with.share()/without.share(); cost >= tolerated {
-		t.Missf("the limit costs %.1f%% of the starts in time", 100*cost)
+		t.Failf("the limit costs %.1f%% of the starts within the latency objective", 100*cost)
 	}
 	return fmt.Sprintf("%d submitted, %d shed; starts in time %.2f%% without the limit, %.2f%% with it",
 		with.submitted, with.shed, 100*without.share(), 100*with.share()), nil
--- a/internal/testbed/trials/overload/goodput.go
+++ b/internal/testbed/trials/overload/goodput.go
@@ -11,7 +11,7 @@
 	"glenport/scheduler"
 )
 
-// goodputMeter counts, in each second, what was placed within its latency objective.
+// goodputMeter counts, for each second, the containers that were placed within their latency objective.
 type goodputMeter struct {
 	classes   []scheduler.WorkloadClass
 	began     time.Time
@@ -32,7 +32,8 @@
 	}
 }
 
-// clientBackoff returns how long a client waits before it retries. It is called under the clients' lock.
+// clientBackoff returns the function that gives the time a client waits before a retry. The clients call that function
+// with their lock held.
 func clientBackoff(d simulation.Damping, random *rand.Rand) func(tries int, retryAfter time.Duration) time.Duration {
 	return func(tries int, retryAfter time.Duration) time.Duration {
 		switch {
--- a/internal/testbed/trials/overload/overload.go
+++ b/internal/testbed/trials/overload/overload.go
@@ -1,4 +1,4 @@
-// Package overload is the trial of what follows when most of a fleet restarts at once under load.
+// Package overload is the trial of the recovery after most machines of a cluster restart at once under load.
 package overload
 
 import (
@@ -8,15 +8,15 @@
 	"glenport/internal/testbed/trials"
 )
 
-// Trial restarts most of a fleet at once under load, without damping, with clients that back off, and with glenport's
-// concurrency limit, on a virtual clock and over sockets. glenport must recover in every run, with fewer starts lost
-// than the others.
+// Trial restarts most machines of a cluster at once under load, simulated and over sockets. It compares three dampings:
+// none, exponential backoff of the clients, and the concurrency limit of the schedulers. With the limit, goodput must
+// recover in every run, and fewer starts must be lost than with the other two.
 type Trial struct {
-	Seeds           int // of the simulated form
-	Sockets         int // runs of each form over sockets; 0: none
-	Schedulers      int // over sockets
-	IgnoringClients float64
-	LimitedProgram  []string // command of a scheduler with a concurrency limit
+	Seeds           int      // simulated runs of each damping
+	Sockets         int      // runs of each damping over sockets; 0: none
+	Schedulers      int      // in runs over sockets
+	IgnoringClients float64  // share of the simulated clients that ignore retry-after
+	LimitedProgram  []string // command that starts a scheduler with a concurrency limit
 
 	*trials.Runner
 	setup trials.Setup
@@ -33,15 +33,15 @@
 func (t *Trial) Run(runner *trials.Runner, setup trials.Setup) error {
 	t.Runner, t.setup = runner, setup
 	steps := []trials.Step{
-		{Name: "simulated", Play: trials.WithoutFigures(t.runSimulations)},
-		{Name: "simulated, calm", Play: t.runCalm},
-		{Name: "simulated, schedulers restart", Play: trials.WithoutFigures(t.runSchedulerRestarts)},
+		{Name: "simulated", Run: trials.WithoutFigures(t.runSimulations)},
+		{Name: "simulated, no fault", Run: t.runBaseline},
+		{Name: "simulated, schedulers restart", Run: trials.WithoutFigures(t.runSchedulerRestarts)},
 	}
 	for run := range t.Sockets {
 		steps = append(steps, trials.Step{
 			Name: fmt.Sprintf("sockets, run %d", run),
-			Play: trials.WithoutFigures(func() error { return t.compareOnSockets(run) }),
+			Run:  trials.WithoutFigures(func() error { return t.compareOnSockets(run) }),
 		})
 	}
-	return t.Play(steps...)
+	return t.RunSteps(steps...)
 }
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -10,10 +10,10 @@
 	"glenport/scheduler"
 )
 
-// The simulated fleet and its restart.
+// The simulated cluster and its restart.
 const (
 	simulatedMachines  = 24
-	simulatedRestart   = 20
+	simulatedRestart   = 20 // machines that restart
 	simulatedRestartAt = 10 // seconds
 )
 
@@ -31,13 +31,13 @@
 	}
 }
 
-// simulatedRuns collects the runs of one share of ignoring clients.
+// simulatedRuns collects the results of the runs with one share of clients that ignore retry-after.
 type simulatedRuns struct {
 	mu         sync.Mutex
 	recoveries map[simulation.Damping][]simulation.Recovery
 	actions    int
-	scheduled  int // retries at the time that the limiter gave
-	admitted   int // of these, those for which there was room
+	scheduled  int // retries at the time that the limiter set
+	admitted   int // scheduled retries that the limiter admitted
 }
 
 func (r *simulatedRuns) add(s *simulation.Simulation) {
@@ -59,7 +59,7 @@
 	return lost
 }
 
-// runSimulations plays the simulation for each seed and damping; the dampings of a seed have the same clients.
+// runSimulations runs the simulation for each seed and damping. All dampings of a seed have the same clients.
 func (t *Trial) runSimulations() error {
 	for _, ignoring := range []float64{0, t.IgnoringClients} {
 		began := time.Now()
@@ -67,7 +67,7 @@
 		for _, d := range dampings {
 			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
 			if d == simulation.Limited && never > 0 {
-				t.Missf("with the limit goodput did not recover in %d runs", never)
+				t.Failf("with the limit goodput did not recover in %d runs", never)
 			}
 		}
 		t.Printf(
@@ -77,7 +77,7 @@
 		)
 		limited := runs.meanLost(simulation.Limited)
 		if least := min(runs.meanLost(simulation.NoDamping), runs.meanLost(simulation.Exponential)); limited >= least {
-			t.Missf("%.0f starts lost on average with the limit, %.0f without it", limited, least)
+			t.Failf("%.0f starts lost on average with the limit, %.0f without it", limited, least)
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	return runs
 }
 
-// printRecoveries prints the runs of one damping and returns in how many goodput never recovered.
+// printRecoveries prints the runs of one damping. It returns the number of runs in which goodput never recovered.
 func (t *Trial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
 	var seconds []int
 	for _, r := range recoveries {
@@ -110,19 +110,19 @@
 			seconds = append(seconds, r.SecondsToRecover)
 		}
 	}
-	when := "none came back"
+	when := "none recovered"
 	if len(seconds) > 0 {
-		when = fmt.Sprintf("back after %d to %d s", slices.Min(seconds), slices.Max(seconds))
+		when = fmt.Sprintf("recovered after %d to %d s", slices.Min(seconds), slices.Max(seconds))
 	}
 	t.Printf("simulated, %d of %d machines restart, %3.0f%% of the clients ignore retry-after, damping %-11s: "+
-		"%s, metastable in %d of %d; %.0f starts in time lost on average\n",
+		"%s, metastable in %d of %d; %.0f starts lost on average\n",
 		simulatedRestart, simulatedMachines, 100*ignoring, d,
 		when, never, len(recoveries), meanLost(recoveries))
 	return never
 }
 
-// runSchedulerRestarts restarts all schedulers two seconds after the machines are back, with and without the state of
-// their limiters.
+// runSchedulerRestarts restarts all schedulers two seconds after the machines have restarted. One run restores the state
+// of the schedulers' limiters, the other drops it.
 func (t *Trial) runSchedulerRestarts() error {
 	for _, state := range []string{"restored", "dropped"} {
 		s := restartSimulation(1, simulation.Limited)
--- a/internal/testbed/trials/overload/sockets.go
+++ b/internal/testbed/trials/overload/sockets.go
@@ -12,14 +12,14 @@
 	"glenport/internal/testbed/simulation"
 )
 
-// The restart over sockets.
+// The restart of machines over sockets.
 const (
 	socketRestart   = 20 // machines
 	socketRestartAt = 10 // seconds
 	socketDownFor   = 1500 * time.Millisecond
 )
 
-// runSockets plays it with real schedulers; the rules must be kept and no machine be overloaded.
+// runSockets runs the restart with real schedulers. No rule may be broken and no machine in slow start be overloaded.
 func (t *Trial) runSockets(d simulation.Damping, run int) (simulation.Recovery, error) {
 	s, seed := t.setup.Scenario, uint64(run)
 	s.Schedulers = t.Schedulers
@@ -50,7 +50,7 @@
 	return simulation.EvaluateRecovery(measured.perSecond, socketRestartAt), nil
 }
 
-// auditRun ends a run, prints its figures and notes what did not hold.
+// auditRun ends a run, prints its figures and records the failed checks.
 func (t *Trial) auditRun(c *cluster.Cluster) error {
 	overloaded := c.CountOverloaded()
 	tally := c.Clients.Close()
@@ -65,10 +65,10 @@
 		tally.Submitted, tally.Retried, tally.Placed, tally.Rejected, tally.NotAdmitted, tally.Failed,
 		overloaded, findings.SlowStartPeak, findings.SlowStartBudget)
 	if !findings.Passed() {
-		t.Missf("%d violations of rules in the recording", len(findings.Violations))
+		t.Failf("%d violations of rules in the recording", len(findings.Violations))
 	}
 	if overloaded > 0 {
-		t.Missf("%d machines in slow start failed under load", overloaded)
+		t.Failf("%d machines in slow start failed under load", overloaded)
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// compareOnSockets plays one run of each damping; the limit must come off best.
+// compareOnSockets does one run with each damping. The limit must lose the fewest starts.
 func (t *Trial) compareOnSockets(run int) error {
 	recoveries := map[simulation.Damping]simulation.Recovery{}
 	for _, d := range dampings {
@@ -99,11 +99,11 @@
 	}
 	limited := recoveries[simulation.Limited]
 	if limited.SecondsToRecover < 0 {
-		t.Missf("with the limit goodput did not recover")
+		t.Failf("with the limit goodput did not recover")
 	}
 	for _, d := range dampings {
 		if d != simulation.Limited && limited.Lost >= recoveries[d].Lost {
-			t.Missf("%.0f starts lost with the limit, %.0f with damping %s", limited.Lost, recoveries[d].Lost, d)
+			t.Failf("%.0f starts lost with the limit, %.0f with damping %s", limited.Lost, recoveries[d].Lost, d)
 		}
 	}
 	return nil
--- a/internal/testbed/trials/restart/commits.go
+++ b/internal/testbed/trials/restart/commits.go
@@ -11,7 +11,7 @@
 	"glenport/internal/storage/wal"
 )
 
-// commitStats counts the commits of concurrent writers; times are in microseconds.
+// commitStats counts and times the commits of concurrent writers. Times are in microseconds.
 type commitStats struct{ count, total, worst atomic.Int64 }
 
 func (s *commitStats) record(took time.Duration) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// measureCommits measures the log with and without group commit, on the disk that there is.
+// measureCommits measures the commits of a log with and without group commit, on the disk of the trial's folder.
 func (t *Trial) measureCommits() error {
 	if err := t.measureCommitsWith("without group commit", wal.Options{SyncEachCommit: true}); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// commitForOneSecond commits one change after the other; it ends at the first error.
+// commitForOneSecond commits changes one after the other for a second. It stops at the first error.
 func commitForOneSecond(log *wal.Log, writer int, began time.Time, stats *commitStats) {
 	value := make([]byte, 200)
 	for i := 0; time.Since(began) < time.Second; i++ {
--- a/internal/testbed/trials/restart/jobclient.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -11,19 +11,19 @@
 	"glenport/internal/testbed/process"
 )
 
-// acknowledgedJob is what the API acknowledged last of a job.
+// acknowledgedJob is the last state of a job that the API acknowledged.
 type acknowledgedJob struct {
 	spec    process.JobSpec
 	version int64
 }
 
-// jobClient creates, changes and deletes jobs all the time, retrying each change until it is acknowledged.
+// jobClient continuously creates, changes and deletes jobs. It retries each change until it is acknowledged.
 type jobClient struct {
 	*process.Controller
 	jobs         map[string]acknowledgedJob
 	acknowledged int
 	retries      int
-	err          error // a reply that no client should get
+	err          error // an unexpected reply, which ends the changes
 }
 
 // jobChange is one request to the API.
@@ -48,7 +48,7 @@
 	}
 }
 
-// nextChange draws a job and what is done with it.
+// nextChange draws a random job and a change of it.
 func (c *jobClient) nextChange(r *rand.Rand) jobChange {
 	id := fmt.Sprint("job-", r.IntN(24))
 	job, exists := c.jobs[id]
@@ -57,14 +57,14 @@
 	if !exists {
 		return jobChange{method: http.MethodPost, path: "/v1/jobs", spec: spec}
 	}
-	spec.Workload = job.spec.Workload // a job keeps its workload class
+	spec.Workload = job.spec.Workload // the workload class of a job cannot change
 	if r.IntN(4) == 0 {
 		return jobChange{method: http.MethodDelete, path: "/v1/jobs/" + id, spec: spec}
 	}
 	return jobChange{method: http.MethodPut, path: "/v1/jobs/" + id, spec: spec}
 }
 
-// apply sends a change until it is acknowledged. A retried deletion may find that the first one was carried out.
+// apply sends a change until it is acknowledged. A retried deletion may find the job deleted by an earlier try.
 func (c *jobClient) apply(change jobChange) error {
 	var body any
 	if change.method != http.MethodDelete {
@@ -78,7 +78,7 @@
 			return nil
 		}
 		if err == nil && status < http.StatusInternalServerError {
-			return fmt.Errorf("%s %s, try %d: %d", change.method, change.path, try, status)
+			return fmt.Errorf("%s %s, try %d: unexpected status %d", change.method, change.path, try, status)
 		}
 		c.retries++
 		time.Sleep(10 * time.Millisecond)
@@ -94,7 +94,7 @@
 	}
 }
 
-// wantedContainers is how many containers the acknowledged jobs have.
+// wantedContainers returns the number of containers of the acknowledged jobs.
 func (c *jobClient) wantedContainers() (n int) {
 	for _, job := range c.jobs {
 		n += job.spec.Count
@@ -117,7 +117,7 @@
 		acknowledged, ok := c.jobs[job.ID]
 		seen[job.ID] = true
 		if !ok {
-			report("job %s exists, its deletion was acknowledged", job.ID)
+			report("job %s is listed, but its deletion was acknowledged", job.ID)
 			continue
 		}
 		want := listedJob{
@@ -127,12 +127,12 @@
 			Version:  acknowledged.version,
 		}
 		if job != want {
-			report("job %s is %+v, acknowledged was %+v", job.ID, job, want)
+			report("job %s is listed as %+v, but was acknowledged as %+v", job.ID, job, want)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if !seen[id] {
-			report("job %s was acknowledged and does not exist", id)
+			report("job %s was acknowledged, but is not listed", id)
 		}
 	}
 }
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -19,9 +19,9 @@
 	"glenport/internal/testbed/report"
 )
 
-// killRun is one run in which processes are killed while clients work.
+// killRun is a run in which processes are killed under load.
 type killRun struct {
-	kills      int64 // of schedulers, in all
+	kills      int64 // total kills of schedulers
 	seed       uint64
 	dir        string
 	cluster    *cluster.Cluster
@@ -30,14 +30,14 @@
 
 	schedulerKills  atomic.Int64
 	controllerKills atomic.Int64
-	truncatedLogs   atomic.Int64 // logs with an unfinished group at their end
-	duplicates      atomic.Int64 // at-most-once containers seen twice at once
+	truncatedLogs   atomic.Int64 // logs that end with an incomplete commit group
+	duplicates      atomic.Int64 // observations of an at-most-once container that runs more than once
 
 	mu         sync.Mutex
 	violations []string
 }
 
-// killProcesses kills schedulers and the controller under load and notes what did not hold.
+// killProcesses kills schedulers and the controller under load and records the failed checks.
 func (t *Trial) killProcesses() error {
 	s, dir := t.scenario, t.path("kills")
 	c, err := cluster.Start(s.Spec, dir, t.program)
@@ -69,47 +69,47 @@
 	if err != nil {
 		return err
 	}
-	t.Printf("kills: %d of schedulers and %d of the controller by SIGKILL in %.0f s; every folder read after each, "+
-		"%d with an unfinished group at its end\n",
+	t.Printf("kills: %d of schedulers and %d of the controller by SIGKILL in %.0f s; the state folder was read after "+
+		"each kill, %d logs ended with an incomplete commit group\n",
 		r.schedulerKills.Load(), r.controllerKills.Load(), length.Seconds(), r.truncatedLogs.Load())
 	t.Printf("jobs: %d changes acknowledged, %d retries; %d jobs with %d containers at the end, %d run; "+
-		"at-most-once seen twice: %d\n",
+		"duplicates of at-most-once containers seen: %d\n",
 		r.client.acknowledged, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
 	t.auditKills(&tally, findings)
 	for _, violation := range r.violations {
-		t.Missf("%s", violation)
+		t.Failf("%s", violation)
 	}
 	return nil
 }
 
-// auditKills prints what clients saw and what the recording says, and notes what did not hold of it.
+// auditKills prints the figures of the clients and of the recording, and records the failed checks.
 func (t *Trial) auditKills(tally *emulator.Tally, findings *audit.Report) {
-	t.Printf("clients: %d submitted, %d placed, %d answers too many, %d without one; recording: %d frames, %d offers, "+
+	t.Printf("clients: %d submitted, %d placed, %d duplicate replies, %d unanswered; recording: %d frames, %d offers, "+
 		"%d accepts; machines in slow start at most at %d of %d offers\n",
 		tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending,
 		findings.Frames, findings.Offers, findings.Accepted, findings.SlowStartPeak, findings.SlowStartBudget)
 	report.RecordingLag(t.Out, findings)
 	report.Violations(t.Out, findings)
 	if findings.Passed() {
-		t.Printf("rules: kept over all lives\n")
+		t.Printf("rules: kept over all incarnations\n")
 	} else {
-		t.Missf("%d violations of rules in the recording", len(findings.Violations))
+		t.Failf("%d violations of rules in the recording", len(findings.Violations))
 	}
 	if tally.DuplicateReplies > 0 || tally.Pending > 0 {
-		t.Missf("%d answers too many, %d containers without one", tally.DuplicateReplies, tally.Pending)
+		t.Failf("%d duplicate replies, %d unanswered submissions", tally.DuplicateReplies, tally.Pending)
 	}
 }
 
 func (r *killRun) controllerState() string { return filepath.Join(r.dir, "controller.state") }
 
-// report notes a violation; it may be called from any goroutine.
+// report records a violation. It may be called from any goroutine.
 func (r *killRun) report(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// killUnderLoad kills processes until the schedulers have had all their kills, while a client changes jobs.
+// killUnderLoad kills processes while a client changes jobs. It ends after the last kill of a scheduler.
 func (r *killRun) killUnderLoad() {
 	stop := make(chan struct{})
 	var changing, killing sync.WaitGroup
@@ -127,14 +127,14 @@
 	}
 }
 
-// over reports whether the schedulers have had all their kills.
-func (r *killRun) over() bool { return r.schedulerKills.Load() >= r.kills }
+// killsDone reports whether all kills of schedulers are done.
+func (r *killRun) killsDone() bool { return r.schedulerKills.Load() >= r.kills }
 
 func (r *killRun) killScheduler(p *process.Scheduler, random *rand.Rand) {
 	for r.schedulerKills.Add(1) <= r.kills {
 		time.Sleep(time.Duration(30+random.IntN(150)) * time.Millisecond)
 		r.cluster.KillScheduler(p)
-		r.checkFolder(p.Name, filepath.Join(r.dir, p.Name+".state"))
+		r.checkStateDir(p.Name, filepath.Join(r.dir, p.Name+".state"))
 		if err := r.cluster.StartScheduler(p); err != nil {
 			r.report("%v", err)
 			return
@@ -144,11 +144,11 @@
 }
 
 func (r *killRun) killController(random *rand.Rand) {
-	for !r.over() {
+	for !r.killsDone() {
 		time.Sleep(time.Duration(300+random.IntN(500)) * time.Millisecond)
 		r.controller.Signal(syscall.SIGKILL)
 		r.controllerKills.Add(1)
-		r.checkFolder("controller", r.controllerState())
+		r.checkStateDir("controller", r.controllerState())
 		if err := r.controller.Launch(); err != nil {
 			r.report("%v", err)
 			return
@@ -156,10 +156,10 @@
 	}
 }
 
-// restartMachines restarts machines meanwhile: offers that earlier incarnations of schedulers sent to a machine in slow
-// start count against its budget.
+// restartMachines restarts machines during the kills. Offers that earlier incarnations of schedulers sent to a machine
+// in slow start must count against its budget.
 func (r *killRun) restartMachines() {
-	for i := 0; !r.over(); i++ {
+	for i := 0; !r.killsDone(); i++ {
 		time.Sleep(700 * time.Millisecond)
 		m := r.cluster.Machines[i%len(r.cluster.Machines)]
 		m.Crash()
@@ -170,8 +170,8 @@
 	}
 }
 
-// checkFolder reads a folder as a process that was killed left it.
-func (r *killRun) checkFolder(name, folder string) {
+// checkStateDir checks that the state folder of a killed process can be read.
+func (r *killRun) checkStateDir(name, folder string) {
 	fs, err := vfs.OpenReadOnly(folder)
 	if err != nil {
 		r.report("%s: %v", name, err)
--- a/internal/testbed/trials/restart/lost.go
+++ b/internal/testbed/trials/restart/lost.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testbed/cluster"
 )
 
-// stateAtRestart is what schedulers find of their state when they are started again.
+// stateAtRestart says whether schedulers find their persisted state when they are started again.
 type stateAtRestart string
 
 const (
@@ -17,19 +17,19 @@
 	stateRemoved   stateAtRestart = "removed"
 )
 
-// measureLost plays the same restart with and without the schedulers' persisted state: a zone restarts, a part of the
-// machines hangs, and then every scheduler is killed. What is counted is what clients submit in the ten seconds after
-// and do not get placed.
-func (t *Trial) measureLost() error {
+// measureLostStarts compares restarts of all schedulers with and without their persisted state. Before the restart, the
+// machines of one zone restart and some other machines freeze. It counts the containers that clients submit in the ten
+// seconds after the restart, and those of them that are not placed.
+func (t *Trial) measureLostStarts() error {
 	for i, state := range []stateAtRestart{statePersisted, stateRemoved, statePersisted, stateRemoved} {
-		if err := t.measureLostOnce(t.path(fmt.Sprintf("lost-%d", i)), state); err != nil {
+		if err := t.measureLostStartsOnce(t.path(fmt.Sprintf("lost-%d", i)), state); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *Trial) measureLostOnce(dir string, state stateAtRestart) error {
+func (t *Trial) measureLostStartsOnce(dir string, state stateAtRestart) error {
 	const measured = 10 * time.Second
 	c, err := cluster.Start(t.scenario.Spec, dir, t.program)
 	if err != nil {
@@ -38,7 +38,7 @@
 	defer c.Shutdown()
 	c.Clients.Start(t.scenario.Rate*2, t.scenario.Seed)
 	time.Sleep(4 * time.Second)
-	if err := restartZoneAndHang(c); err != nil {
+	if err := restartZoneAndFreeze(c); err != nil {
 		return err
 	}
 	time.Sleep(1500 * time.Millisecond)
@@ -60,7 +60,7 @@
 	after := c.Clients.Snapshot()
 	submitted, placed := after.Submitted-before.Submitted, after.Placed-before.Placed
 	t.Printf(
-		"ten seconds after a restart, state %-9s: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
+		"ten seconds after a restart, state %-9s: %d submitted, %d not placed, %d placed after more than 1 s\n",
 		state, submitted, submitted-placed, after.PlacedLate-before.PlacedLate,
 	)
 	c.UnfreezeAll()
@@ -68,9 +68,9 @@
 	return c.Close()
 }
 
-// restartZoneAndHang restarts the machines of the second zone and freezes a fifth of the others.
-func restartZoneAndHang(c *cluster.Cluster) error {
-	const restartedZone, hangsEach = 1, 5
+// restartZoneAndFreeze restarts the machines of the second zone and freezes a fifth of the other machines.
+func restartZoneAndFreeze(c *cluster.Cluster) error {
+	const restartedZone, frozenOneIn = 1, 5
 	for i, m := range c.Machines {
 		switch {
 		case m.ZoneIndex == restartedZone:
@@ -78,7 +78,7 @@
 			if err := m.Start(false); err != nil {
 				return err
 			}
-		case i%hangsEach == 0:
+		case i%frozenOneIn == 0:
 			m.Freeze()
 		}
 	}
--- a/internal/testbed/trials/restart/restart.go
+++ b/internal/testbed/trials/restart/restart.go
@@ -1,5 +1,5 @@
-// Package restart is the trial of what processes keep over restarts: schedulers and the controller are killed while
-// they write.
+// Package restart is the trial of the state that schedulers and the controller persist: they are killed while they
+// write it.
 package restart
 
 import (
@@ -11,11 +11,11 @@
 	"glenport/internal/testbed/trials"
 )
 
-// Trial kills schedulers and the controller while they write, and looks for anything that was acknowledged and is not
-// there: in every folder after every kill, in the API and on the machines at the end, in the recording.
+// Trial kills schedulers and the controller while they write. It checks that nothing acknowledged is lost: in the state
+// folder after each kill, in the API and on the machines at the end, and in the recording.
 type Trial struct {
-	Kills    int   // of schedulers; the controller is killed a tenth as often
-	LogSizes []int // containers in the log at a start that is timed
+	Kills    int   // of schedulers; the controller is killed about a tenth as often
+	LogSizes []int // numbers of containers in the logs with which starts are timed
 	Losses   Losses
 	Sabotage string // crashcheck.SabotageSync, crashcheck.SabotageChecksum or none
 
@@ -25,10 +25,10 @@
 	program  []string
 }
 
-// Losses says whether the trial measures the starts that are lost after a restart.
+// Losses says whether the trial measures the container starts that are lost after a restart.
 type Losses int
 
-// The measurement takes more than a minute.
+// LossesLeftOut skips the measurement, which takes more than a minute.
 const (
 	LossesMeasured Losses = iota
 	LossesLeftOut
@@ -42,30 +42,31 @@
 // Run implements [trials.Trial].
 func (t *Trial) Run(runner *trials.Runner, setup trials.Setup) error {
 	t.Runner, t.scenario, t.dir, t.program = runner, setup.Scenario, setup.Dir, setup.Program
-	steps := []trials.Step{{Name: "crash states", Play: t.checkCrashStates}}
+	steps := []trials.Step{{Name: "crash states", Run: t.checkCrashStates}}
 	if t.Sabotage != "" {
-		return t.Play(steps...)
+		return t.RunSteps(steps...)
 	}
 	steps = append(steps,
-		trials.Step{Name: "commits", Play: trials.WithoutFigures(t.measureCommits)},
-		trials.Step{Name: "kills", Play: trials.WithoutFigures(t.killProcesses)},
+		trials.Step{Name: "commits", Run: trials.WithoutFigures(t.measureCommits)},
+		trials.Step{Name: "kills", Run: trials.WithoutFigures(t.killProcesses)},
 	)
 	for _, n := range t.LogSizes {
 		steps = append(steps, trials.Step{
 			Name: fmt.Sprintf("start with %d containers in the log", n),
-			Play: trials.WithoutFigures(func() error { return t.measureStart(n) }),
+			Run:  trials.WithoutFigures(func() error { return t.measureStart(n) }),
 		})
 	}
 	if t.Losses == LossesMeasured {
-		steps = append(steps, trials.Step{Name: "starts lost", Play: trials.WithoutFigures(t.measureLost)})
+		steps = append(steps, trials.Step{Name: "starts lost", Run: trials.WithoutFigures(t.measureLostStarts)})
 	}
-	return t.Play(steps...)
+	return t.RunSteps(steps...)
 }
 
-// path is that of a folder of the trial.
+// path returns the path of a folder of the trial.
 func (t *Trial) path(name string) string { return filepath.Join(t.dir, name) }
 
-// checkCrashStates walks through the states that a crash may leave. A violation is a result of the trial, not an error.
+// checkCrashStates checks the disk states that a crash may leave. A violation is a failed check of the trial, not an
+// error.
 func (t *Trial) checkCrashStates() (string, error) {
 	const histories = 5
 	var sum crashcheck.Check
@@ -74,13 +75,13 @@
 		err := check.Run()
 		sum.Add(check)
 		if err != nil {
-			t.Missf("crash states, history %d: %v", seed, err)
+			t.Failf("crash states, history %d: %v", seed, err)
 			break
 		}
 	}
 	return fmt.Sprintf(
 		"%d operations, %d states after one crash and %d after a second in recovery; "+
-			"%d of %d single bits turned over were refused, the others were in the last group",
+			"%d of %d single-bit flips were detected, the others were in the last commit group",
 		sum.Operations, sum.States, sum.SecondCrashes, sum.Refused, sum.BitFlips,
 	), nil
 }
--- a/internal/testbed/trials/restart/settle.go
+++ b/internal/testbed/trials/restart/settle.go
@@ -10,7 +10,8 @@
 	"glenport/scheduler"
 )
 
-// waitSettled compares the API with what was acknowledged and waits until exactly the wanted containers run.
+// waitSettled compares the jobs of the API with the acknowledged ones and waits until exactly the wanted containers
+// run.
 func (r *killRun) waitSettled() (wanted, running int) {
 	wanted = r.client.wantedContainers()
 	var all struct{ Items []listedJob }
@@ -21,7 +22,7 @@
 		return wanted, 0
 	}
 	r.client.compareJobs(all.Items, r.report)
-	err := process.WaitUntil("every wanted container runs, by the machines' own state", time.Minute, func() bool {
+	err := process.WaitUntil("exactly the wanted containers run on the machines", time.Minute, func() bool {
 		running = 0
 		for _, copies := range runningJobCopies(r.cluster) {
 			running += copies.count
@@ -30,7 +31,7 @@
 	})
 	if err != nil {
 		r.report(
-			"%v: %d run, %d by the API, %d are wanted",
+			"%v: %d run on the machines, %d run according to the API, %d are wanted",
 			err,
 			running,
 			r.controller.CountByState(process.StateRunning),
@@ -41,7 +42,7 @@
 	return wanted, running
 }
 
-// reportUnwanted reports what runs of no job, and what runs more than once.
+// reportUnwanted reports the running containers without a job, and those that run more than once.
 func (r *killRun) reportUnwanted() {
 	for id, copies := range runningJobCopies(r.cluster) {
 		job, _, _ := strings.Cut(id, "/")
@@ -51,15 +52,15 @@
 	}
 }
 
-// runningCopies is what runs of one container.
+// runningCopies describes the running copies of one container.
 type runningCopies struct {
 	count    int
 	workload int
-	where    string // machines and keys
+	where    string // machines, idempotency keys and container IDs
 }
 
-// runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job
-// that was deleted and created again with another class is another.
+// runningJobCopies counts the running copies of the jobs' containers in the state of the machines, by job, index and
+// workload class. A job that was deleted and created again with another class counts as another job.
 func runningJobCopies(c *cluster.Cluster) map[string]runningCopies {
 	all := map[string]runningCopies{}
 	for _, m := range c.Machines {
@@ -79,8 +80,9 @@
 	return all
 }
 
-// watchDuplicates looks, in the machines' own state, for at-most-once containers that run twice at once.
-func (r *killRun) watchDuplicates(over chan struct{}) {
+// watchDuplicates watches the state of the machines for at-most-once containers that run more than once, until a
+// channel is closed.
+func (r *killRun) watchDuplicates(done chan struct{}) {
 	for {
 		for id, copies := range runningJobCopies(r.cluster) {
 			class := r.cluster.Config.Policy.WorkloadClasses[copies.workload]
@@ -90,7 +92,7 @@
 			}
 		}
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	startMachines    = 20                       // of the bench on which starts are timed
-	loadServices     = 500                      // that the containers of a log belong to
+	startMachines    = 20                       // machines of the cluster on which starts are timed
+	loadServices     = 500                      // services of the containers in a prepared scheduler log
 	submitTimeout    = protocol.Duration(40000) // 4 s
-	recordsPerCommit = 500                      // of a log that is written in advance
-	containersPerJob = 1000                     // of such a log
+	recordsPerCommit = 500                      // in a prepared log
+	containersPerJob = 1000                     // in a prepared controller log
 	placeTimeout     = 20 * time.Second
-	longRuntime      = protocol.Duration(36_000_000) // an hour
+	longRuntime      = protocol.Duration(36_000_000) // 1 h
 	atMostOnceClass  = 2
 )
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// measureStart times a start with n containers in the log: of a scheduler to its first container placed, of a
-// controller to the first that runs.
+// measureStart times starts with n containers in the log: a scheduler until it has placed its first container, and a
+// controller until its first container runs.
 func (t *Trial) measureStart(n int) error {
 	dir := t.path(fmt.Sprint("start-", n))
 	b, err := bench.Start(bench.Spec{
@@ -89,7 +89,7 @@
 		return err
 	}
 	t.Printf("start of a scheduler, %d containers in its log: listening after %.0f ms, "+
-		"first container placed after %.0f ms, first retried at-most-once one after %.0f ms\n",
+		"first container placed after %.0f ms, first retried at-most-once container after %.0f ms\n",
 		n, milliseconds(listening), milliseconds(first), milliseconds(time.Since(began)))
 	return nil
 }
@@ -112,7 +112,7 @@
 		return err
 	}
 	listening := time.Since(began)
-	if err := process.WaitUntil("the first runs", 30*time.Second, func() bool {
+	if err := process.WaitUntil("the first container runs", 30*time.Second, func() bool {
 		var all struct{ Items []any }
 		return controller.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
 	}); err != nil {
--- a/internal/testbed/trials/restart/writelog.go
+++ b/internal/testbed/trials/restart/writelog.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// writeLog writes a log as an earlier incarnation would have left it.
+// writeLog writes a log of n records as an earlier incarnation would have left it.
 func writeLog(folder, kind string, n int, record func(i int) (key string, value any)) (err error) {
 	fs, err := vfs.OpenLocked(folder)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return commitErr
 }
 
-// writeSchedulerLog writes n attempts.
+// writeSchedulerLog writes the log of a scheduler with n attempts.
 func writeSchedulerLog(dir string, n int) error {
 	return writeLog(filepath.Join(dir, "state"), schedulerd.AttemptKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
@@ -68,7 +68,7 @@
 	})
 }
 
-// writeControllerLog writes jobs with n running containers in all.
+// writeControllerLog writes the log of a controller whose jobs have n running containers in total.
 func writeControllerLog(folder, schedulerAddress string, n int) error {
 	jobs := (n + containersPerJob - 1) / containersPerJob
 	if err := writeLog(folder, server.RecordJob, jobs, func(i int) (string, any) {
--- a/internal/testbed/trials/runner.go
+++ b/internal/testbed/trials/runner.go
@@ -8,64 +8,64 @@
 	"glenport/internal/testbed/report"
 )
 
-// printedMisses is how many of a trial's misses are printed.
-const printedMisses = 5
+// maxPrintedFailures is the number of failed checks that are printed for a trial.
+const maxPrintedFailures = 5
 
-// Step is one step of a trial. It returns the figures to print, if any; what did not hold goes to the runner's misses,
-// an error ends the trial.
+// Step is one step of a trial. Its function returns the figures to print, if any. Failed checks are recorded with the
+// runner; an error ends the trial.
 type Step struct {
 	Name string
-	Play func() (figures string, err error)
+	Run  func() (figures string, err error)
 }
 
-// WithoutFigures makes the function of a step of one that has no figures to print.
-func WithoutFigures(play func() error) func() (string, error) {
-	return func() (string, error) { return "", play() }
+// WithoutFigures wraps a function that has no figures to print as the function of a step.
+func WithoutFigures(run func() error) func() (string, error) {
+	return func() (string, error) { return "", run() }
 }
 
-// Runner plays the steps of a trial and collects what did not hold.
+// Runner runs the steps of a trial and collects the failed checks.
 type Runner struct {
-	Out    io.Writer
-	misses []string
+	Out      io.Writer
+	failures []string
 }
 
-// Missf notes what did not hold.
-func (r *Runner) Missf(format string, args ...any) {
-	r.misses = append(r.misses, fmt.Sprintf(format, args...))
+// Failf records a failed check.
+func (r *Runner) Failf(format string, args ...any) {
+	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// Printf prints a line of a step beside its figures.
+// Printf prints a line of a step, in addition to its figures.
 func (r *Runner) Printf(format string, args ...any) { report.Printf(r.Out, format, args...) }
 
-func (r *Runner) passed() bool { return len(r.misses) == 0 }
+func (r *Runner) passed() bool { return len(r.failures) == 0 }
 
-// Play plays steps in order and prints a line for each, and the first misses.
-func (r *Runner) Play(steps ...Step) error {
+// RunSteps runs steps in order. It prints a line for each step, and then the first failed checks.
+func (r *Runner) RunSteps(steps ...Step) error {
 	width := 0
 	for _, step := range steps {
 		width = max(width, len(step.Name))
 	}
 	for _, step := range steps {
-		if err := r.playStep(step, width); err != nil {
+		if err := r.runStep(step, width); err != nil {
 			return fmt.Errorf("%s: %w", step.Name, err)
 		}
 	}
-	for _, miss := range r.misses[:min(len(r.misses), printedMisses)] {
-		r.Printf("missed: %s\n", miss)
+	for _, failure := range r.failures[:min(len(r.failures), maxPrintedFailures)] {
+		r.Printf("check failed: %s\n", failure)
 	}
 	return nil
 }
 
-func (r *Runner) playStep(step Step, width int) error {
-	missedBefore, began := len(r.misses), time.Now()
-	figures, err := step.Play()
+func (r *Runner) runStep(step Step, width int) error {
+	failedBefore, began := len(r.failures), time.Now()
+	figures, err := step.Run()
 	if err != nil {
 		return err
 	}
 	if figures != "" {
 		figures += ", "
 	}
-	missed := len(r.misses) - missedBefore
-	r.Printf("%-*s %5.1f s, %s%d missed\n", width, step.Name, time.Since(began).Seconds(), figures, missed)
+	failed := len(r.failures) - failedBefore
+	r.Printf("%-*s %5.1f s, %s%d checks failed\n", width, step.Name, time.Since(began).Seconds(), figures, failed)
 	return nil
 }
--- a/internal/testbed/trials/trial.go
+++ b/internal/testbed/trials/trial.go
@@ -1,5 +1,5 @@
-// Package trials plays trials, each of which proves one subsystem end to end, with faults. The packages below it hold a
-// trial each.
+// Package trials runs trials. A trial tests one subsystem end to end with injected faults. Each package below this one
+// holds one trial.
 package trials
 
 import (
@@ -10,25 +10,25 @@
 	"glenport/internal/testbed/scenario"
 )
 
-// ErrFailed is returned for a trial in which something did not hold; the verdict has been printed.
+// ErrFailed is returned for a failed trial, after its verdict has been printed.
 var ErrFailed = errors.New("the trial failed")
 
-// Setup is what a trial is played on.
+// Setup holds the cluster description, the output folder and the scheduler command of a trial.
 type Setup struct {
-	Scenario *scenario.Scenario // gives the cluster
+	Scenario *scenario.Scenario // describes the cluster
 	Dir      string             // for recordings and logs
-	Program  []string           // command of a scheduler
+	Program  []string           // command that starts a scheduler
 }
 
-// Trial proves one subsystem.
+// Trial tests one subsystem.
 type Trial interface {
-	// Verdict returns the name of the trial and what its verdict says if something did not hold.
+	// Verdict returns the name of the trial and the text that its verdict gives if a check failed.
 	Verdict() (name, failure string)
-	// Run plays the steps of the trial. An error ends the trial; what did not hold is noted with the runner.
+	// Run runs the steps of the trial. An error ends the trial; failed checks are recorded with the runner.
 	Run(runner *Runner, setup Setup) error
 }
 
-// Run plays a trial and prints its verdict.
+// Run runs a trial and prints its verdict.
 func Run(trial Trial, setup Setup, out io.Writer) error {
 	runner := &Runner{Out: out}
 	name, failure := trial.Verdict()
--- a/internal/testbed/trials/trial_test.go
+++ b/internal/testbed/trials/trial_test.go
@@ -9,19 +9,19 @@
 	"glenport/internal/testutil"
 )
 
-// stepTrial is a trial of given steps.
+// stepTrial is a trial with given steps.
 type stepTrial struct{ steps func(*Runner) []Step }
 
-func (t stepTrial) Verdict() (name, failure string) { return "fake", "it did not hold" }
+func (t stepTrial) Verdict() (name, failure string) { return "fake", "a check failed" }
 
-func (t stepTrial) Run(runner *Runner, _ Setup) error { return runner.Play(t.steps(runner)...) }
+func (t stepTrial) Run(runner *Runner, _ Setup) error { return runner.RunSteps(t.steps(runner)...) }
 
 var elapsed = regexp.MustCompile(`\d+\.\d s`)
 
-// Other checks read the lines that begin with "trial".
+// The verdict comes last, on a line that begins with "trial": scripts read these lines.
 func TestVerdictIsTheLastLine(t *testing.T) {
-	counted := Step{Name: "counted", Play: func() (string, error) { return "3 of 3", nil }}
-	silent := Step{Name: "no", Play: WithoutFigures(func() error { return nil })}
+	counted := Step{Name: "counted", Run: func() (string, error) { return "3 of 3", nil }}
+	silent := Step{Name: "no", Run: WithoutFigures(func() error { return nil })}
 	for _, tc := range []struct {
 		name  string
 		steps func(*Runner) []Step
@@ -29,18 +29,18 @@
 		err   error
 	}{
 		{
-			"all held", func(*Runner) []Step { return []Step{counted, silent} },
-			"counted   T s, 3 of 3, 0 missed\nno        T s, 0 missed\ntrial fake: ok\n", nil,
+			"all checks pass", func(*Runner) []Step { return []Step{counted, silent} },
+			"counted   T s, 3 of 3, 0 checks failed\nno        T s, 0 checks failed\ntrial fake: ok\n", nil,
 		},
-		{"a miss", func(r *Runner) []Step {
-			return []Step{silent, {Name: "missing", Play: WithoutFigures(func() error {
-				r.Missf("%d is not 3", 2)
+		{"a failed check", func(r *Runner) []Step {
+			return []Step{silent, {Name: "missing", Run: WithoutFigures(func() error {
+				r.Failf("%d is not 3", 2)
 				return nil
 			})}}
-		}, "no        T s, 0 missed\nmissing   T s, 1 missed\nmissed: 2 is not 3\n" +
-			"trial fake: FAILED it did not hold\n", ErrFailed},
+		}, "no        T s, 0 checks failed\nmissing   T s, 1 checks failed\ncheck failed: 2 is not 3\n" +
+			"trial fake: FAILED a check failed\n", ErrFailed},
 		{"an error", func(*Runner) []Step {
-			return []Step{{Name: "broken", Play: WithoutFigures(func() error { return errors.New("no port") })}, silent}
+			return []Step{{Name: "broken", Run: WithoutFigures(func() error { return errors.New("no port") })}, silent}
 		}, "trial fake: FAILED broken: no port\n", ErrFailed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/trials/why/drains.go
+++ b/internal/testbed/trials/why/drains.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testbed/process"
 )
 
-// countFittingMachines counts, by the machines' own state, those that would accept a container.
+// countFittingMachines counts the machines that would accept a container, from the state of the machines themselves.
 func (t *Trial) countFittingMachines(cores, memory float64) int {
 	n := 0
 	for _, m := range t.cluster.Machines {
@@ -22,42 +22,42 @@
 	return n
 }
 
-// drain drains the machines that a predicate selects; they keep what runs.
-func (t *Trial) drain(which func(*emulator.Machine) bool) {
+// drain drains the machines that a predicate selects. Their running containers are kept.
+func (t *Trial) drain(selects func(*emulator.Machine) bool) {
 	for _, m := range t.cluster.Machines {
-		if which(m) {
+		if selects(m) {
 			t.cluster.List.SetState(m, protocol.MachineDraining)
 			m.Drain()
 		}
 	}
 }
 
-// endDrain puts machines that were drained back in service.
-func (t *Trial) endDrain(which func(*emulator.Machine) bool) {
+// endDrain puts drained machines back in service.
+func (t *Trial) endDrain(selects func(*emulator.Machine) bool) {
 	for _, m := range t.cluster.Machines {
-		if which(m) {
+		if selects(m) {
 			t.cluster.List.SetState(m, protocol.MachineServing)
 			m.EndDrain()
 		}
 	}
 }
 
-// Each large machine accepts 96 cores and thus one container of fillerCores; the next needs as many more.
+// Each large machine accepts up to 96 cores. One container of fillerCores fits on it, a second one does not.
 const (
-	fillerCores  = 60
-	fillerMemory = 1
-	fillerJob    = "filler"
-	pendingJob   = "pending"
-	pendingOne   = "pending.0" // its container
+	fillerCores      = 60
+	fillerMemory     = 1
+	fillerJob        = "filler"
+	pendingJob       = "pending"
+	pendingContainer = "pending.0" // its container
 )
 
 func isLarge(m *emulator.Machine) bool { return m.MachineType == "large" || m.MachineTypeIndex == 1 }
 
 func inFirstZone(m *emulator.Machine) bool { return m.ZoneIndex == 0 }
 
-// playDrainsAndRoom changes the reason of one pending container again and again: no room, then all that could run it
-// drain, then no room, then room.
-func (t *Trial) playDrainsAndRoom() error {
+// runDrainsAndRoom repeatedly changes the reason for which one container is pending: no machine has room, then all
+// machines that could run it drain, then no machine has room again, then one has.
+func (t *Trial) runDrainsAndRoom() error {
 	large := 0
 	for _, m := range t.cluster.Machines {
 		if isLarge(m) {
@@ -82,28 +82,30 @@
 }
 
 // fullThenDraining submits one container more than fits, drains all machines that may run it and ends the drain.
+// Before and after the drain the container must be reported as pending for lack of room.
 func (t *Trial) fullThenDraining() error {
 	if n := t.countFittingMachines(fillerCores, fillerMemory); n != 0 {
-		return fmt.Errorf("the fleet is not full: %d machines have room", n)
+		return fmt.Errorf("the large machines are not full: %d have room", n)
 	}
 	since := time.Now()
 	if err := t.CreateJob(pendingJob, process.WorkloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	if err := t.expect("full", pendingOne, since, codes{reasonNoRoom}, codes{reasonNoMachine}); err != nil {
+	if err := t.expect("full", pendingContainer, since, codes{reasonNoRoom}, codes{reasonNoMachine}); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.drain(isLarge)
-	if err := t.expect("all draining", pendingOne, since, codes{reasonNoMachine}, codes{reasonNoRoom}); err != nil {
+	if err := t.expect("all draining", pendingContainer, since,
+		codes{reasonNoMachine}, codes{reasonNoRoom}); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.endDrain(isLarge)
-	return t.expect("in service, and full", pendingOne, since, codes{reasonNoRoom}, codes{reasonNoMachine})
+	return t.expect("in service again, full", pendingContainer, since, codes{reasonNoRoom}, codes{reasonNoMachine})
 }
 
-// roomAgain scales the filler down by one, so that the pending container fits, and restores the fleet after that.
+// roomAgain scales the filler job down by one, so that the pending container fits. Afterwards it restores the filler.
 func (t *Trial) roomAgain(large int) error {
 	if err := t.ReplaceJob(fillerJob, process.WorkloadLargeOnly, large-1, fillerCores, fillerMemory); err != nil {
 		return err
@@ -115,11 +117,11 @@
 		return err
 	}
 	if since := time.Now(); t.CountContainers(pendingJob, process.StateRunning) == 0 {
-		// The machine with room may be excluded for another reason: it drained a moment ago, and rejected work then.
-		// But no more machines may be reported as full than are.
+		// The machine with room may still be excluded because it rejected work while it drained. But the number of
+		// machines reported as full must be right.
 		if err := t.expectMatching(expectation{
-			what: "room", container: pendingOne, since: since, not: codes{reasonNoMachine},
-			holds: func(answer pendingReasons) bool {
+			change: "room", container: pendingContainer, since: since, not: codes{reasonNoMachine},
+			condition: func(answer pendingReasons) bool {
 				noRoom, found := answer.find(reasonNoRoom)
 				return !found || int(noRoom.Figures["full"]) == large-t.countFittingMachines(fillerCores, fillerMemory)
 			},
--- a/internal/testbed/trials/why/expect.go
+++ b/internal/testbed/trials/why/expect.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// reasonLimit is the time in which a client must read the true reason.
+// reasonLimit is the time within which a client must read the true reason.
 const reasonLimit = time.Second
 
-// codes are codes of reasons.
+// codes is a list of reason codes.
 type codes []string
 
-// expectation is what a client must read of a container.
+// expectation describes the reasons that a client must read for a container.
 type expectation struct {
-	what      string // names the change before
+	change    string // describes the change of state
 	container string
-	since     time.Time // when it became true
+	since     time.Time // when the change took effect
 	want      codes     // codes that must be read
-	not       codes     // codes that must not be read; all others may
-	holds     func(pendingReasons) bool
+	not       codes     // codes that must not be read; any other code is allowed
+	condition func(pendingReasons) bool
 }
 
 func (e *expectation) met(read map[string]bool, answer pendingReasons) bool {
-	if e.holds != nil && !e.holds(answer) {
+	if e.condition != nil && !e.condition(answer) {
 		return false
 	}
 	for _, code := range e.want {
@@ -40,13 +40,13 @@
 	return true
 }
 
-// expect waits until the client reads the codes wanted and none of those excluded.
-func (t *Trial) expect(what, container string, since time.Time, want, not codes) error {
-	return t.expectMatching(expectation{what: what, container: container, since: since, want: want, not: not})
+// expect waits until the client reads all codes of want and none of not.
+func (t *Trial) expect(change, container string, since time.Time, want, not codes) error {
+	return t.expectMatching(expectation{change: change, container: container, since: since, want: want, not: not})
 }
 
-// expectMatching waits until what is read meets an expectation. It records the delay, and a miss if that is longer
-// than reasonLimit.
+// expectMatching waits until the reasons read meet an expectation. It records the delay, and a failed check if the
+// delay is longer than reasonLimit.
 func (t *Trial) expectMatching(e expectation) error {
 	t.checks++
 	for wrong := (pendingReasons{}); ; time.Sleep(10 * time.Millisecond) {
@@ -59,12 +59,12 @@
 		case e.met(read, answer):
 			t.recordDelay(max(1, took.Milliseconds()))
 			if took > reasonLimit {
-				t.Missf("%s: the true reason was read after %d ms, before that %s %+v",
-					e.what, took.Milliseconds(), wrong.State, wrong.Reasons)
+				t.Failf("%s: the true reason was read after %d ms, before that %s %+v",
+					e.change, took.Milliseconds(), wrong.State, wrong.Reasons)
 			}
 			return nil
 		case took > 5*reasonLimit:
-			t.Missf("%s: read [%s], true is [%s] and not [%s]", e.what,
+			t.Failf("%s: read codes [%s], want [%s] and none of [%s]", e.change,
 				strings.Join(slices.Sorted(maps.Keys(read)), " "), strings.Join(e.want, " "), strings.Join(e.not, " "))
 			t.recordDelay(took.Milliseconds())
 			return nil
@@ -74,5 +74,5 @@
 }
 
 func (t *Trial) recordDelay(milliseconds int64) {
-	_ = t.delays.RecordValue(milliseconds) // longer than its range is a miss already
+	_ = t.delays.RecordValue(milliseconds) // a value beyond the range is a failed check already
 }
--- a/internal/testbed/trials/why/fencing.go
+++ b/internal/testbed/trials/why/fencing.go
@@ -7,24 +7,25 @@
 	"glenport/internal/testbed/process"
 )
 
-// playFencing loses the reply to an at-most-once attempt: nothing may be done for the fencing delay, and then it is.
-func (t *Trial) playFencing() error {
+// runFencing loses the reply to an at-most-once attempt. The container must stay pending for the fencing delay and be
+// placed after it.
+func (t *Trial) runFencing() error {
 	const job, first = "guarded", "guarded.0"
 	t.cluster.FreezeAll()
 	since := time.Now()
 	if err := t.CreateJob(job, process.WorkloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
-	err := t.expect("failed, and it may run", first, since.Add(placementTimeout), codes{reasonFencing}, nil)
+	err := t.expect("attempt failed, container may run", first, since.Add(placementTimeout), codes{reasonFencing}, nil)
 	_, answer, readErr := t.readCodes(first)
 	t.cluster.UnfreezeAll()
 	if err := errors.Join(err, readErr); err != nil {
 		return err
 	}
-	fencing, _ := answer.find(reasonFencing) // its time, if it is missing, is a miss below
+	fencing, _ := answer.find(reasonFencing) // if it is missing, its zero time fails the check below
 	ends := time.UnixMilli(fencing.UntilMS)
 	if left := time.Until(ends); left <= 0 || left > 9*time.Second {
-		t.Missf("the fencing delay is reported to end in %v", left)
+		t.Failf("the fencing delay is reported to end in %v", left)
 		return nil
 	}
 	time.Sleep(time.Until(ends))
@@ -37,8 +38,8 @@
 	return t.DeleteJob(job)
 }
 
-// connectAllMachines uses every machine once. A freeze before has cost connections; an attempt over a connection that
-// is not up provably never runs, and needs no fencing.
+// connectAllMachines places containers on every machine, so that each has a connection. An earlier freeze has broken
+// connections. An attempt without an established connection provably never runs and needs no fencing.
 func (t *Trial) connectAllMachines() error {
 	const job = "warm"
 	capacity := t.spreadCapacity()
@@ -51,8 +52,8 @@
 	return t.DeleteJob(job)
 }
 
-// playScaleDownWhileFenced scales a job down while its containers are fenced: none of them may be left running.
-func (t *Trial) playScaleDownWhileFenced() error {
+// runScaleDownWhileFenced scales a job down while its containers are fenced. None of them may keep running.
+func (t *Trial) runScaleDownWhileFenced() error {
 	const job = "shrinks"
 	if err := t.connectAllMachines(); err != nil {
 		return err
@@ -73,5 +74,7 @@
 	if err := t.DeleteJob(job); err != nil {
 		return err
 	}
-	return process.WaitUntil("nothing of it runs", 10*time.Second, func() bool { return t.cluster.CountRunning() == 0 })
+	return process.WaitUntil("no container of the job runs", 10*time.Second, func() bool {
+		return t.cluster.CountRunning() == 0
+	})
 }
--- a/internal/testbed/trials/why/reasons.go
+++ b/internal/testbed/trials/why/reasons.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// The codes of reasons that the trial expects, and the limits of the settings that it knows.
+// The reason codes that the trial expects, and the time limits from the settings that it depends on.
 const (
-	reasonNoMachine   = "no_machine"
-	reasonNoRoom      = "no_room"
-	reasonNoScheduler = "no_placer"
-	reasonFencing     = "guard"
-	reasonBackingOff  = "backing_off"
-	reasonZoneDrains  = "hall_drains"
-	reasonListAway    = "list_away"
-	reasonSpreadFull  = "spread_full"
-	placementTimeout  = 4 * time.Second // of the trial's at-most-once work
-	listSilenceLimit  = 4 * time.Second // after which the list counts as unavailable
-	spreadTimeout     = time.Minute
+	reasonNoMachine       = "no_machine"
+	reasonNoRoom          = "no_room"
+	reasonNoScheduler     = "no_placer"
+	reasonFencing         = "guard"
+	reasonBackingOff      = "backing_off"
+	reasonZoneDrains      = "hall_drains"
+	reasonListUnavailable = "list_away"
+	reasonSpreadFull      = "spread_full"
+	placementTimeout      = 4 * time.Second // of the at-most-once workload class
+	listSilenceLimit      = 4 * time.Second // after which the machine list counts as unavailable
+	spreadTimeout         = time.Minute
 )
 
 // pendingReasons is the API's answer to why a container is pending.
@@ -40,14 +40,14 @@
 	return pendingReason{}, false
 }
 
-// sabotagedCodes has the codes that a sabotaged trial reads in place of the true ones.
+// sabotagedCodes maps true codes to the codes that a sabotaged trial reads instead.
 var sabotagedCodes = map[string]string{
 	reasonNoMachine: reasonNoRoom,
 	reasonNoRoom:    reasonNoMachine,
 	reasonFencing:   reasonBackingOff,
 }
 
-// readCodes reads a container's reasons.
+// readCodes reads the reasons for which a container is pending, and their codes.
 func (t *Trial) readCodes(container string) (map[string]bool, pendingReasons, error) {
 	var answer pendingReasons
 	if err := t.Get("/v1/containers/"+container+"/why", &answer); err != nil {
--- a/internal/testbed/trials/why/spread.go
+++ b/internal/testbed/trials/why/spread.go
@@ -8,20 +8,21 @@
 	"glenport/internal/testbed/process"
 )
 
-// spreadCapacity is how many containers of an at-most-once service fit by its spread: two a machine at each scheduler.
+// spreadCapacity returns the number of containers of an at-most-once service that its spread limit allows: each
+// scheduler may place two on each machine.
 func (t *Trial) spreadCapacity() int {
 	return 2 * len(t.cluster.Machines) * len(t.cluster.Schedulers)
 }
 
-// waitRunningCount waits until the number of a job's containers that run meets a condition.
+// waitRunningCount waits until the number of a job's running containers meets a condition.
 func (t *Trial) waitRunningCount(what, job string, holds func(running int) bool) error {
 	return process.WaitUntil(what, spreadTimeout, func() bool {
 		return holds(t.CountContainers(job, process.StateRunning))
 	})
 }
 
-// playSpread submits more of a service than its spread leaves room for.
-func (t *Trial) playSpread() error {
+// runSpread submits more containers of a service than its spread limit allows.
+func (t *Trial) runSpread() error {
 	const job = "spread"
 	capacity := t.spreadCapacity()
 	if err := t.CreateJob(job, process.WorkloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
@@ -31,7 +32,8 @@
 	if err := t.waitRunningCount("the spread is nearly full", job, nearlyFull); err != nil {
 		return err
 	}
-	// The spread may be full at one scheduler and not at the other; the true reason is that of the scheduler asked.
+	// The limit may be reached at one scheduler and not at the other. The true reason is that of the scheduler that was
+	// asked.
 	if err := t.waitRunningCount("the spread is full", job, func(n int) bool { return n == capacity }); err != nil {
 		return err
 	}
--- a/internal/testbed/trials/why/why.go
+++ b/internal/testbed/trials/why/why.go
@@ -1,4 +1,4 @@
-// Package why is the trial of the reasons for which containers are pending.
+// Package why is the trial of the reasons that the API gives for pending containers.
 package why
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Trial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client reads
-// through the API with the state of the emulated machines themselves.
+// Trial starts a cluster with a controller, keeps containers pending for known reasons, and compares the reasons that a
+// client reads from the API with the state of the emulated machines themselves.
 type Trial struct {
-	Cycles int // of draining and filling; each holds four changes
-	Steps  int // how many of the trial's steps are played; 0: all
+	Cycles int // of draining and filling; each has four changes
+	Steps  int // number of steps to run; 0: all
 	Codes  Codes
 
 	*process.Controller
@@ -23,10 +23,10 @@
 	checks  int
 }
 
-// Codes says which codes of reasons the trial reads.
+// Codes selects the reason codes that the trial reads.
 type Codes int
 
-// A sabotaged trial reads other codes than the API returns, to show that the trial sees it.
+// SabotagedCodes replaces the codes that the API returns by wrong ones, to show that the trial detects them.
 const (
 	TrueCodes Codes = iota
 	SabotagedCodes
@@ -49,18 +49,18 @@
 	}
 	defer t.Terminate()
 	steps := []trials.Step{
-		{Name: "drains and room", Play: trials.WithoutFigures(t.playDrainsAndRoom)},
-		{Name: "four reasons at once", Play: trials.WithoutFigures(t.playCombinedReasons)},
-		{Name: "spread", Play: trials.WithoutFigures(t.playSpread)},
-		{Name: "fencing delay", Play: trials.WithoutFigures(t.playFencing)},
-		{Name: "scaled down while fenced", Play: trials.WithoutFigures(t.playScaleDownWhileFenced)},
-		{Name: "machine list unavailable", Play: trials.WithoutFigures(t.playListUnavailable)},
-		{Name: "schedulers killed while the client reads", Play: trials.WithoutFigures(t.playSchedulersKilled)},
+		{Name: "drains and room", Run: trials.WithoutFigures(t.runDrainsAndRoom)},
+		{Name: "four reasons at once", Run: trials.WithoutFigures(t.runCombinedReasons)},
+		{Name: "spread", Run: trials.WithoutFigures(t.runSpread)},
+		{Name: "fencing delay", Run: trials.WithoutFigures(t.runFencing)},
+		{Name: "scaled down while fenced", Run: trials.WithoutFigures(t.runScaleDownWhileFenced)},
+		{Name: "machine list unavailable", Run: trials.WithoutFigures(t.runListUnavailable)},
+		{Name: "schedulers killed while the client reads", Run: trials.WithoutFigures(t.runSchedulersKilled)},
 	}
 	if t.Steps > 0 {
 		steps = steps[:min(t.Steps, len(steps))]
 	}
-	if err := t.Play(steps...); err != nil {
+	if err := t.RunSteps(steps...); err != nil {
 		return err
 	}
 	t.Printf("%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
