--- a/internal/testbed/platformcheck/actions.go
+++ b/internal/testbed/platformcheck/actions.go
@@ -7,60 +7,87 @@
 )
 
 const (
-	shortWait = 15 * time.Millisecond // of a client with very little time left
-	ms        = time.Millisecond
+	shortDeadline = 15 * time.Millisecond // deadline of requests with hardly any time left
+	ms            = time.Millisecond
 )
 
-// actions are the variants of each sort of event.
+// actions holds the variants of each kind of event.
 var actions = map[Kind][]action{
-	KindTerm: {{text: "the process is told to end", do: func(w *World, _ Event) { w.term() }}},
+	KindTerm: {{text: "the process gets TERM", do: func(w *World, _ Event) { w.terminate() }}},
 	KindReload: {
-		{text: "the same file is read again", do: func(w *World, _ Event) { w.reload() }},
-		{text: "the bus moves", do: func(w *World, _ Event) { w.moveDiscovery() }},
-		{text: "the bus moves and comes back", do: func(w *World, _ Event) { w.moveDiscovery(); w.moveDiscovery() }},
+		{text: "the process reloads the same configuration", do: func(w *World, _ Event) { w.reload() }},
+		{text: "the discovery service moves to its other address", do: func(w *World, _ Event) { w.moveDiscovery() }},
+		{text: "the discovery service moves and moves back", do: func(w *World, _ Event) {
+			w.moveDiscovery()
+			w.moveDiscovery()
+		}},
 	},
 	KindDiscovery: {
-		{text: "the bus breaks off", do: func(w *World, _ Event) { w.discovery.disconnect() }},
-		{text: "the bus breaks off within a line", do: func(w *World, _ Event) { w.discovery.disconnectWithinLine() }},
-		{text: "the bus is silent for", span: [2]time.Duration{100 * ms, 1500 * ms}, doFor: (*World).silenceDiscovery},
-		{text: "the bus writes events twice", do: func(w *World, _ Event) { w.discovery.repeatEvents() }},
-		{text: "the bus leaves a gap, in which a machine drains", do: func(w *World, e Event) {
+		{text: "the discovery service closes its connections", do: func(w *World, _ Event) {
+			w.discovery.disconnect()
+		}},
+		{text: "the discovery service closes its connections within a line", do: func(w *World, _ Event) {
+			w.discovery.disconnectWithinLine()
+		}},
+		{
+			text: "the discovery service is silent for", span: [2]time.Duration{100 * ms, 1500 * ms},
+			doFor: (*World).silenceDiscovery,
+		},
+		{text: "the discovery service repeats events", do: func(w *World, _ Event) { w.discovery.repeatEvents() }},
+		{text: "the discovery service skips the event by which a machine drains", do: func(w *World, e Event) {
 			w.drainInGap(w.targetMachine(e))
 		}},
-		{text: "the bus forgets its connections", do: func(w *World, _ Event) { w.discovery.forgetWatches() }},
-		{text: "the bus is down for", span: [2]time.Duration{100 * ms, 1500 * ms}, doFor: (*World).takeDiscoveryDown},
+		{text: "the discovery service sends nothing more on its connections", do: func(w *World, _ Event) {
+			w.discovery.forgetWatches()
+		}},
+		{
+			text: "the discovery service is down for", span: [2]time.Duration{100 * ms, 1500 * ms},
+			doFor: (*World).takeDiscoveryDown,
+		},
 	},
 	KindMachineList: {
 		{text: "a machine drains", do: func(w *World, e Event) { w.setState(w.targetMachine(e), healthDraining) }},
-		{text: "a machine is gone", do: func(w *World, e Event) { w.removeMachine(w.targetMachine(e)) }},
-		{text: "a machine starts anew", do: func(w *World, e Event) { w.restartMachine(w.targetMachine(e)) }},
-		{text: "a machine is ready", do: func(w *World, e Event) { w.makeReady(w.targetMachine(e)) }},
-		{text: "the whole list comes", do: func(w *World, _ Event) { w.discovery.publish(true, w.listedMachines()...) }},
-		{text: "the whole list comes without a machine", do: func(w *World, e Event) { w.omitFromList(w.targetMachine(e)) }},
-		{text: "another machine takes the address of one", do: func(w *World, e Event) { w.replaceMachine(w.targetMachine(e)) }},
+		{text: "a machine is removed", do: func(w *World, e Event) { w.removeMachine(w.targetMachine(e)) }},
+		{text: "a machine restarts", do: func(w *World, e Event) { w.restartMachine(w.targetMachine(e)) }},
+		{text: "a machine ends its drain", do: func(w *World, e Event) { w.makeReady(w.targetMachine(e)) }},
+		{text: "the whole machine list is sent", do: func(w *World, _ Event) {
+			w.discovery.publish(true, w.listedMachines()...)
+		}},
+		{text: "the whole machine list is sent without a machine", do: func(w *World, e Event) {
+			w.omitFromList(w.targetMachine(e))
+		}},
+		{text: "a machine is replaced by another at its address", do: func(w *World, e Event) {
+			w.replaceMachine(w.targetMachine(e))
+		}},
 		{text: "a machine is added", do: func(w *World, _ Event) { w.addMachine() }},
-		{text: "a third of the machines starts anew", do: (*World).restartThird},
-		{text: "a third of the machines drains", do: (*World).drainThird},
+		{text: "a third of the machines restart", do: (*World).restartThird},
+		{text: "a third of the machines drain", do: (*World).drainThird},
 	},
 	KindClient: {
-		{text: "a client asks", do: (*World).clientSubmits},
-		{text: "a client asks several times", do: (*World).clientSubmitsSeveral},
-		{text: "a new client asks", do: (*World).newClientSubmits},
-		{text: "a steady client asks", do: (*World).persistentClientSubmits},
-		{text: "a client gives up", do: func(w *World, e Event) { w.withClient(e, (*client).cancelOldest) }},
-		{text: "a client asks and gives up at once", do: (*World).clientSubmitsAndCancels},
+		{text: "a client sends a request", do: (*World).clientSubmits},
+		{text: "a client sends several requests", do: (*World).clientSubmitsSeveral},
+		{text: "a new client sends a request", do: (*World).newClientSubmits},
+		{text: "a persistent client sends a request", do: (*World).persistentClientSubmits},
+		{text: "a client cancels a request", do: func(w *World, e Event) { w.withClient(e, (*client).cancelOldest) }},
+		{text: "a client sends a request and cancels its oldest one", do: (*World).clientSubmitsAndCancels},
 		{text: "a client ends a container", do: (*World).endContainer},
-		{text: "a client goes", do: func(w *World, e Event) { w.clientLeaves(e, (*simnet.PeerConn).Close) }},
+		{text: "a client closes its connection", do: func(w *World, e Event) {
+			w.clientLeaves(e, (*simnet.PeerConn).Close)
+		}},
 		{text: "a client resets its connection", do: func(w *World, e Event) {
 			w.clientLeaves(e, (*simnet.PeerConn).Reset)
 		}},
-		{text: "a client asks and goes", do: (*World).clientSubmitsAndLeaves},
-		{text: "a client half-closes", do: func(w *World, e Event) { w.clientLeaves(e, (*simnet.PeerConn).CloseWrite) }},
-		{text: "a bad client", do: (*World).misbehavingClient},
+		{text: "a client sends a request and closes its connection", do: (*World).clientSubmitsAndLeaves},
+		{text: "a client half-closes its connection", do: func(w *World, e Event) {
+			w.clientLeaves(e, (*simnet.PeerConn).CloseWrite)
+		}},
+		{text: "a misbehaving client connects", do: (*World).misbehavingClient},
 	},
 	KindResponse: {
-		{text: "the next answer of a machine differs", do: func(w *World, e Event) { w.respond(w.targetMachine(e), e) }},
-		{text: "the next answer of each machine differs", do: func(w *World, e Event) {
+		{text: "the next answers of a machine are set", do: func(w *World, e Event) {
+			w.respond(w.targetMachine(e), e)
+		}},
+		{text: "the next answers of each machine are set", do: func(w *World, e Event) {
 			for _, m := range w.machines {
 				w.respond(m, e)
 			}
@@ -78,7 +105,7 @@
 			doFor: func(w *World, e Event, span time.Duration) { w.targetMachine(e).partition(span) },
 		},
 		{
-			text: "connections to a machine come up late by", span: [2]time.Duration{10 * ms, 600 * ms},
+			text: "connections to a machine are delayed by", span: [2]time.Duration{10 * ms, 600 * ms},
 			doFor: func(w *World, e Event, span time.Duration) { w.targetMachine(e).endpoint.Delay = span },
 		},
 		{
@@ -90,20 +117,22 @@
 	},
 	KindDescriptors: {
 		{
-			text: "no descriptors are left for", span: [2]time.Duration{10 * ms, 400 * ms},
+			text: "the process runs out of descriptors for", span: [2]time.Duration{10 * ms, 400 * ms},
 			doFor: (*World).exhaustDescriptors,
 		},
 		{text: "clients connect in a burst", do: (*World).burst},
-		{text: "a crowd connects, and a client in it asks", do: (*World).crowd},
+		{text: "many clients connect, and one of them sends a request", do: (*World).crowd},
 	},
 	KindStart: {
-		{text: "the process is killed and starts anew", do: func(w *World, _ Event) { w.kill() }},
-		{text: "a new client names what runs", do: func(w *World, _ Event) { w.withNewClient((*client).claimAll) }},
-		{text: "a client names what does not run", do: (*World).falseClaim},
-		{text: "a client makes up claims at a machine", do: (*World).makeFalseClaims},
-		{text: "a client makes up claims at many machines", do: (*World).makeFalseClaimsAnywhere},
-		{text: "a client claims what others ask for", do: (*World).claimOthersRequests},
-		{text: "a client claims what it asks for", do: (*World).claimOwnRequest},
+		{text: "the process is killed and restarted", do: func(w *World, _ Event) { w.kill() }},
+		{text: "a new client claims all running containers", do: func(w *World, _ Event) {
+			w.withNewClient((*client).claimAll)
+		}},
+		{text: "a client claims a container that does not run", do: (*World).falseClaim},
+		{text: "a client makes false claims for one machine", do: (*World).makeFalseClaims},
+		{text: "a client makes false claims for many machines", do: (*World).makeFalseClaimsAnywhere},
+		{text: "a client claims the open requests of all clients", do: (*World).claimOthersRequests},
+		{text: "a client claims an open request of its own", do: (*World).claimOwnRequest},
 		{text: "a new client tests the process", do: func(w *World, _ Event) {
 			w.withNewClient(func(c *client) {
 				c.whenEstablished(func() { c.write(testLine(w.newRequestID())) })
@@ -111,18 +140,18 @@
 		}},
 	},
 	KindTiming: {
-		{text: "a client asks with hardly any time left", do: func(w *World, e Event) {
-			w.withClient(e, func(c *client) { c.submit(e.Variant>>4, shortWait) })
+		{text: "a client sends a request with hardly any time left", do: func(w *World, e Event) {
+			w.withClient(e, func(c *client) { c.submit(e.Variant>>4, shortDeadline) })
 		}},
-		{text: "a machine says nothing to the next offers", do: func(w *World, e Event) {
+		{text: "a machine does not answer its next offers", do: func(w *World, e Event) {
 			m := w.targetMachine(e)
 			m.responses = append(m.responses, respondNothing, respondNothing)
 		}},
 		{
-			text: "the process is not run for", span: [2]time.Duration{1 * ms, 100 * ms},
+			text: "the process is stalled for", span: [2]time.Duration{1 * ms, 100 * ms},
 			doFor: (*World).stall,
 		},
-		{text: "all machines say nothing to the next offer", do: func(w *World, _ Event) {
+		{text: "no machine answers its next offer", do: func(w *World, _ Event) {
 			for _, m := range w.machines {
 				m.responses = append(m.responses, respondNothing)
 			}
@@ -130,8 +159,8 @@
 	},
 }
 
-// targetMachine is the machine that an event names. Of many machines, half of the events name one to which the process is
-// connected: most others have no part in anything.
+// targetMachine returns the target of an event. With many machines, half of the events target a machine to which the
+// process is connected, because most other machines take part in nothing.
 func (w *World) targetMachine(e Event) *machine {
 	if len(w.machines) <= targetCount {
 		return w.machines[int(e.Target)%len(w.machines)]
@@ -150,28 +179,28 @@
 	return w.machines[int(e.Target)*len(w.machines)/targetCount]
 }
 
-// withClient does something with the client that an event names, if there is one that is connected.
+// withClient applies a function to the client that an event targets, if any well-behaved client is connected.
 func (w *World) withClient(e Event, do func(*client)) {
-	var usual []*client
+	var wellBehaved []*client
 	for _, c := range w.clients {
 		if !c.misbehaved {
-			usual = append(usual, c)
+			wellBehaved = append(wellBehaved, c)
 		}
 	}
-	if len(usual) > 0 {
-		do(usual[int(e.Target)%len(usual)])
+	if len(wellBehaved) > 0 {
+		do(wellBehaved[int(e.Target)%len(wellBehaved)])
 	}
 }
 
-// withNewClient connects a client, unless there are many, and does something with it.
+// withNewClient connects a client and applies a function to it, unless maxClients clients are connected.
 func (w *World) withNewClient(do func(*client)) {
-	usual := 0
+	wellBehaved := 0
 	for _, c := range w.clients {
 		if !c.misbehaved {
-			usual++
+			wellBehaved++
 		}
 	}
-	if usual < maxClients {
+	if wellBehaved < maxClients {
 		do(w.connect())
 	}
 }
--- a/internal/testbed/platformcheck/campaign.go
+++ b/internal/testbed/platformcheck/campaign.go
@@ -5,39 +5,39 @@
 	"sync/atomic"
 )
 
-// eventsPerRun is how many events a run has.
+// eventsPerRun is the number of events in a run.
 const eventsPerRun = 60
 
-// Campaign is many runs, of seeds in a row.
+// Campaign is a series of runs with consecutive seeds.
 type Campaign struct {
 	FirstSeed uint64
-	Events    int // in all
+	Events    int // total
 	Fault     Fault
-	Workers   int // that play runs at the same time
+	Workers   int // runs that are played in parallel
 }
 
-// Failure is a run in which something was violated.
+// Failure is a run with violations.
 type Failure struct {
 	Run        Run
 	Violations []Violation
 }
 
-// Result is what a campaign has found.
+// Result is the result of a campaign.
 type Result struct {
 	Seeds, Events int     // played
-	First         Failure // that of the lowest seed; without violations if there is none
+	First         Failure // failure of the lowest seed; has no violations if no run failed
 	Failed        int     // runs
 }
 
-// Runs is the number of seeds.
+// Runs returns the number of runs.
 func (c Campaign) Runs() int { return (c.Events + eventsPerRun - 1) / eventsPerRun }
 
-// NewRun makes the run of a seed.
+// NewRun returns the run of a seed.
 func (c Campaign) NewRun(seed uint64) Run {
 	return Run{Seed: seed, Events: Draw(seed, eventsPerRun), Fault: c.Fault}
 }
 
-// Play plays the runs. After the first that fails no further ones are begun.
+// Play plays the runs. It starts no new runs after the first failure.
 func (c Campaign) Play() Result {
 	var next atomic.Uint64
 	var mu sync.Mutex
@@ -63,7 +63,7 @@
 	return result
 }
 
-// add counts a run.
+// add adds a run to the result.
 func (r *Result) add(run Run, violations []Violation) {
 	r.Seeds++
 	r.Events += len(run.Events)
--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// reload has the process read its file again.
+// reload makes the process reload its configuration.
 func (w *World) reload() {
 	if w.server == nil {
 		return
@@ -16,7 +16,7 @@
 	w.server.Reload(&config)
 }
 
-// moveDiscovery has the bus go on at its other address, which a new file names.
+// moveDiscovery moves the discovery service to its other address and reloads the configuration with that address.
 func (w *World) moveDiscovery() {
 	w.discovery.move()
 	w.reload()
@@ -33,7 +33,7 @@
 	w.network.After(span, w.discovery.restore)
 }
 
-// restore ends a fault of the bus, and tells what was not told meanwhile.
+// restore ends a fault of the discovery service and sends the events that were held back.
 func (d *discovery) restore() {
 	d.silent = false
 	d.endpoints[d.active].Refuse = false
@@ -42,7 +42,7 @@
 	}
 }
 
-// disconnectWithinLine writes half an event before the connections end.
+// disconnectWithinLine writes part of an event before it ends the connections.
 func (d *discovery) disconnectWithinLine() {
 	for _, watch := range d.watches {
 		watch.conn.Write([]byte(`{"offset":`), nil)
@@ -50,7 +50,7 @@
 	d.disconnect()
 }
 
-// repeatEvents writes the last events once more.
+// repeatEvents writes the last events again.
 func (d *discovery) repeatEvents() {
 	for _, watch := range d.watches {
 		for offset := max(1, watch.sentUpTo-2); offset <= min(watch.sentUpTo, len(d.events)); offset++ {
@@ -59,8 +59,8 @@
 	}
 }
 
-// skipNextEvent has the next event of each connection passed over. The first one of a connection always comes: behind it
-// alone a gap can be seen.
+// skipNextEvent skips the next event of each connection. The first event of a connection is never skipped, because the
+// process can detect a gap only after it.
 func (d *discovery) skipNextEvent() {
 	for _, watch := range d.watches {
 		if watch.following && watch.sentAny {
@@ -70,7 +70,7 @@
 	}
 }
 
-// drainInGap has the event by which a machine drains be passed over.
+// drainInGap drains a machine and skips the event that reports the drain.
 func (w *World) drainInGap(m *machine) {
 	if m.state == healthGone {
 		return
@@ -79,10 +79,10 @@
 	w.setState(m, healthDraining)
 }
 
-// forgetWatches has the bus say nothing more on the connections that it has; they stay open.
+// forgetWatches makes the discovery service send nothing more on its current connections, which stay open.
 func (d *discovery) forgetWatches() { d.watches = nil }
 
-// setState has the list tell a new state of a machine.
+// setState changes the state of a machine and publishes the change.
 func (w *World) setState(m *machine, state string) {
 	if m.state == healthGone {
 		return
@@ -91,7 +91,7 @@
 	w.discovery.publish(false, m)
 }
 
-// setState has the machine be in a state, which the list is to tell yet.
+// setState changes the state of the machine, which has yet to be published.
 func (m *machine) setState(state string) {
 	m.stateVersion++
 	m.state = state
@@ -100,7 +100,7 @@
 	}
 }
 
-// removeMachine ends a machine for good.
+// removeMachine stops a machine for good.
 func (w *World) removeMachine(m *machine) {
 	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
@@ -110,7 +110,7 @@
 	w.setState(m, healthGone)
 }
 
-// restartMachine ends a machine's process and starts it again, cold.
+// restartMachine restarts a machine and publishes the restart. The machine then is in slow start.
 func (w *World) restartMachine(m *machine) {
 	if m.state == healthGone {
 		return
@@ -119,15 +119,15 @@
 	w.setState(m, healthReady)
 }
 
-// restart ends the machine's process and starts it again.
+// restart stops the machine and starts it again.
 func (m *machine) restart() {
 	m.stop()
 	m.recordStart()
-	// What was decided before, and is sent after, counts as lost with the earlier start.
+	// Offers that were decided before the restart and sent after it may be considered lost with the earlier start.
 	m.extendUncertainty(m.w.now() + m.w.params.slowStart.connectTimeout)
 }
 
-// everyThird are the machines of which an event names every everyThird one, but for those that are gone.
+// everyThird returns every third of the listed machines. The event selects the first.
 func (w *World) everyThird(e Event) []*machine {
 	var third []*machine
 	for i, m := range w.listedMachines() {
@@ -138,7 +138,7 @@
 	return third
 }
 
-// restartThird starts many machines anew, which the list says in one event.
+// restartThird restarts a third of the machines and publishes the restarts in one event.
 func (w *World) restartThird(e Event) {
 	third := w.everyThird(e)
 	for _, m := range third {
@@ -148,7 +148,7 @@
 	w.discovery.publish(false, third...)
 }
 
-// drainThird has many machines drain, which the list says in one event.
+// drainThird drains a third of the machines and publishes the drains in one event.
 func (w *World) drainThird(e Event) {
 	third := w.everyThird(e)
 	for _, m := range third {
@@ -164,7 +164,7 @@
 	}
 }
 
-// omitFromList has the whole list come without a machine, which is gone by that.
+// omitFromList stops a machine and publishes the whole machine list without it.
 func (w *World) omitFromList(m *machine) {
 	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
@@ -176,7 +176,7 @@
 	w.discovery.publishWithout(m, w.listedMachines()...)
 }
 
-// replaceMachine replaces a machine by another one at its address.
+// replaceMachine stops a machine and starts another one at its address.
 func (w *World) replaceMachine(m *machine) {
 	if m.state == healthGone {
 		return
@@ -185,13 +185,13 @@
 	m.stateVersion++
 	m.state = healthGone
 	successor := w.newMachine(fmt.Sprintf("m%02d", len(w.machines)), m.number)
-	successor.unreliable = true // it may accept what was offered to its predecessor
+	successor.unreliable = true // it may accept offers to its predecessor
 	successor.recordStart()
 	w.machines = append(w.machines, successor)
 	w.discovery.publish(false, m, successor)
 }
 
-// addMachine adds one at an address of its own.
+// addMachine adds a machine at a new address.
 func (w *World) addMachine() {
 	number := len(w.machines)
 	m := w.newMachine(fmt.Sprintf("m%02d", number), number)
@@ -200,14 +200,14 @@
 	w.discovery.publish(false, m)
 }
 
-// resetConnection resets a connection of the process.
+// resetConnection resets one connection of the process to the machine.
 func (m *machine) resetConnection() {
 	if len(m.conns) > 0 && !m.partitioned {
 		m.conns[0].reset()
 	}
 }
 
-// closeConnection closes a connection of the process.
+// closeConnection closes one connection of the process to the machine.
 func (m *machine) closeConnection() {
 	if len(m.conns) > 0 && !m.partitioned {
 		conn := m.conns[0]
@@ -216,8 +216,9 @@
 	}
 }
 
-// excusePlacements takes in that the process has ended: what it was to tell of the stop of a machine nobody can tell
-// any more, nor what a process that was killed had read, nor what a client has left unread.
+// excusePlacements marks the placements whose ends nobody can report after the process has ended: those that ended when
+// a machine was stopped, those whose end a killed process had read, and those whose report a client may have left
+// unread.
 func (w *World) excusePlacements() {
 	for _, m := range w.machines {
 		for _, p := range m.stoppedPlacements {
@@ -233,7 +234,7 @@
 	}
 }
 
-// excuseRequests takes in that the process was killed: no open request is owed an answer.
+// excuseRequests marks the open requests, for which a killed process owes no answer.
 func (w *World) excuseRequests() {
 	for _, c := range w.clients {
 		for _, r := range c.open {
--- a/internal/testbed/platformcheck/claimactions.go
+++ b/internal/testbed/platformcheck/claimactions.go
@@ -3,19 +3,19 @@
 import "fmt"
 
 const (
-	smallMemory = 2  // that a container asks for
-	largeMemory = 40 // two such fill a machine
+	smallMemory = 2  // requested by a container
+	largeMemory = 40 // requested by a container; two such containers fill a machine
 )
 
-// connectFalseClaimer makes a client that makes up claims, and confirms nothing that it is told.
-func (w *World) connectFalseClaimer(lie func(*client)) {
+// connectFalseClaimer connects a client that makes false claims and acknowledges nothing.
+func (w *World) connectFalseClaimer(claim func(*client)) {
 	w.withNewClient(func(c *client) {
 		c.misbehaved, c.falseClaimer = true, true
-		lie(c)
+		claim(c)
 	})
 }
 
-// makeFalseClaims has a client claim that many containers run at one machine.
+// makeFalseClaims makes a client claim many containers that do not run, on one machine.
 func (w *World) makeFalseClaims(e Event) {
 	w.connectFalseClaimer(func(c *client) {
 		for range 1 + e.Amount>>8%40 {
@@ -24,7 +24,8 @@
 	})
 }
 
-// makeFalseClaimsAnywhere has a client claim that containers run at several machines, some of which there are not.
+// makeFalseClaimsAnywhere makes a client claim containers that do not run, on several machines. Some of the machines do
+// not exist.
 func (w *World) makeFalseClaimsAnywhere(e Event) {
 	w.connectFalseClaimer(func(c *client) {
 		for i := range 1 + e.Amount>>8%20 {
@@ -37,17 +38,17 @@
 	})
 }
 
-// makeFalseClaim claims that a container which nobody has asked for runs at a machine.
+// makeFalseClaim claims that a container that was never submitted runs on a machine.
 func (c *client) makeFalseClaim(m *machine, amount uint32) {
 	c.claimFalsely(c.w.fictitiousRequest(c, amount), m)
 }
 
-// claimFalsely claims that the container of a request runs at a machine where it does not.
+// claimFalsely claims that the container of a request runs on a machine, although it does not.
 func (c *client) claimFalsely(r *request, m *machine) {
 	c.claim(r, m.id, func() { m.falseClaimReadBy, c.w.falseClaimReadBy = c.w.incarnations, c.w.incarnations })
 }
 
-// fictitiousRequest is one that was never sent.
+// fictitiousRequest returns a request that is never submitted.
 func (w *World) fictitiousRequest(c *client, amount uint32) *request {
 	r := &request{
 		id: w.newRequestID(), client: c, class: workloadClasses[0], service: "s0-0", memory: smallMemory,
@@ -61,12 +62,12 @@
 	return r
 }
 
-// falseClaim has one of the usual clients claim that a container runs which does not.
+// falseClaim makes a well-behaved client claim a container that does not run.
 func (w *World) falseClaim(e Event) {
 	w.withClient(e, func(c *client) { c.makeFalseClaim(w.targetMachine(e), 0) })
 }
 
-// claimOthersRequests has a client claim that what others have asked for runs at a machine.
+// claimOthersRequests makes a client claim that the containers of all open requests run on a machine.
 func (w *World) claimOthersRequests(e Event) {
 	w.connectFalseClaimer(func(c *client) {
 		for _, r := range w.openRequests() {
@@ -76,7 +77,7 @@
 	})
 }
 
-// claimOwnRequest has a client claim that what it has asked for runs already, which takes the request back.
+// claimOwnRequest makes a client claim that the container of its own open request runs. The claim cancels the request.
 func (w *World) claimOwnRequest(e Event) {
 	w.withClient(e, func(c *client) {
 		for _, r := range c.open {
@@ -93,11 +94,11 @@
 	})
 }
 
-// openRequests are those that have no answer yet, in order.
+// openRequests returns the requests that still await an answer, in order.
 func (w *World) openRequests() []*request {
 	var open []*request
-	for _, call := range w.requestIDs {
-		if r := w.checker.requests[call]; r.awaitsAnswer() && r.sentAt != 0 {
+	for _, id := range w.requestIDs {
+		if r := w.checker.requests[id]; r.awaitsAnswer() && r.sentAt != 0 {
 			open = append(open, r)
 		}
 	}
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	maxClients         = 16 // of the usual sort, that are connected at once
+	maxClients         = 16 // well-behaved clients that are connected at the same time
 	requestDescription = `"v=0\r\n"`
 	reconnectDelay     = 30 * time.Millisecond
 	servicesPerClass   = 3
 )
 
-// client is a client with one connection.
+// client is a client of the process. It has one connection.
 type client struct {
 	w             *World
 	conn          *simnet.PeerConn
 	established   bool
-	persistent    bool          // it connects again whenever its connection ends
-	servedAt      time.Duration // when it first heard of the process
-	falseClaimer  bool          // it makes up claims, and confirms nothing
-	misbehaved    bool          // nothing is owed to it any more
-	unreadEnd     time.Duration // until when it leaves its input unread, at most
-	onEstablished []func()      // for the connection
+	persistent    bool          // reconnects when its connection ends
+	servedAt      time.Duration // when it first received a line
+	falseClaimer  bool          // makes false claims and acknowledges nothing
+	misbehaved    bool          // the rules do not cover it
+	unreadUntil   time.Duration // latest time until which it leaves its input unread
+	onEstablished []func()      // called once the connection is established
 	lines         lineReader
 	open          []*request
 }
 
-// connect makes a client and connects it.
+// connect connects a new client.
 func (w *World) connect() *client {
 	c := &client{w: w}
 	c.conn = w.network.Dial(processAddr, c)
@@ -40,7 +40,7 @@
 	return c
 }
 
-// connectPersistent makes a client that stays as long as the process does.
+// connectPersistent connects a persistent client, which claims all running containers.
 func (w *World) connectPersistent() {
 	c := w.connect()
 	c.persistent = true
@@ -48,7 +48,7 @@
 	c.claimAll()
 }
 
-// claimAll names all that clients hold for running.
+// claimAll claims all containers that clients believe to run.
 func (c *client) claimAll() {
 	for _, p := range c.w.knownPlacements() {
 		c.claim(p.request, p.machine.id, p.recordClaimRead)
@@ -66,7 +66,7 @@
 func (c *client) write(line string) { c.writeMarked(line, nil) }
 
 func (c *client) writeMarked(line string, onRead func()) {
-	c.w.tracef("client says %s", line)
+	c.w.tracef("client sends %s", line)
 	c.conn.Write([]byte(line), onRead)
 }
 
@@ -96,19 +96,19 @@
 	}
 }
 
-// remove forgets the client.
+// remove removes the client from the connected ones.
 func (c *client) remove() {
 	c.w.clients = slices.DeleteFunc(c.w.clients, func(other *client) bool { return other == c })
 }
 
-// leaveUnread has the client read nothing for a time.
+// leaveUnread makes the client read nothing for a time.
 func (c *client) leaveUnread(span time.Duration) {
-	c.unreadEnd = max(c.unreadEnd, c.w.now()+span)
-	c.w.unreadEnd = max(c.w.unreadEnd, c.unreadEnd)
+	c.unreadUntil = max(c.unreadUntil, c.w.now()+span)
+	c.w.unreadUntil = max(c.w.unreadUntil, c.unreadUntil)
 	c.conn.PauseReading(span)
 }
 
-// disconnect ends the connection by the client; its open requests are taken back with it.
+// disconnect ends the connection from the client's side. This cancels the open requests.
 func (c *client) disconnect(end func(*simnet.PeerConn)) {
 	end(c.conn)
 	c.remove()
@@ -125,15 +125,15 @@
 	}
 }
 
-// handle takes in a line of the process.
+// handle handles a line from the process.
 func (c *client) handle(line receivedLine) {
-	c.w.tracef("client hears %s", line.text)
+	c.w.tracef("client receives %s", line.text)
 	if c.servedAt == 0 {
 		c.servedAt = c.w.now()
 	}
 	msg, err := line.decode()
 	if err != nil {
-		c.w.checker.report(ruleAnswer, "a line to a client is garbled: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a line to a client is malformed: %s", line.text)
 		return
 	}
 	if c.falseClaimer || msg.Op == jsonlines.OpTested {
@@ -142,7 +142,7 @@
 	r := c.w.checker.requests[msg.RequestID]
 	switch {
 	case r == nil && !c.misbehaved:
-		c.w.checker.report(ruleAnswer, "a client is told of what nobody asked for: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client got a message about an unknown request: %s", line.text)
 	case r == nil:
 	case r.onlyClaimed, r.endsFalseClaim(msg):
 		c.write(endedLine(r.id))
@@ -153,7 +153,7 @@
 	case msg.Op == jsonlines.OpEnd:
 		c.handleEnd(r, msg, line)
 	default:
-		c.w.checker.report(ruleAnswer, "a client is sent what is not for it: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client got a message that no client should get: %s", line.text)
 	}
 }
 
@@ -164,24 +164,26 @@
 	c.w.checker.recordAnswer(r, accepted, line)
 	var description string
 	if err := json.Unmarshal(msg.Description, &description); err != nil {
-		c.w.checker.report(ruleAnswer, "the accept of request %s is no text: %v", r.id, err)
+		c.w.checker.report(ruleAnswer, "the description in the accept of request %s is not a string: %v", r.id, err)
 	}
 	for _, p := range r.placements {
 		if p.description == description {
 			r.placement, p.acceptDelivered, p.knownBy = p, true, c.w.incarnations
 			p.cancelled = p.cancelled || r.cancelled
-			p.endNotOwed = p.endNotOwed || c.conn.ClosedAt() > 0 // read late: others have named what runs by then
+			// If the client reads the accept after its connection was closed, other clients may have sent their claims
+			// without this container.
+			p.endNotOwed = p.endNotOwed || c.conn.ClosedAt() > 0
 			return
 		}
 	}
-	c.w.checker.report(ruleAnswer, "request %s has an accept that no machine made: %s", r.id, line.text)
+	c.w.checker.report(ruleAnswer, "no machine sent the accept of request %s: %s", r.id, line.text)
 }
 
-// handleContainerEnd takes in the end of a container that ran.
+// handleContainerEnd handles the report that a placed container has ended.
 func (c *client) handleContainerEnd(r *request) {
 	p := r.placement
 	if p.runs() && !p.machine.unreliable && !p.cancelled {
-		c.w.checker.report(ruleEndReport, "container %s is told to have ended, and runs on %s", r.id, p.machine.id)
+		c.w.checker.report(ruleEndReport, "container %s is reported to have ended, but runs on %s", r.id, p.machine.id)
 	}
 	p.endReported = true
 	c.write(endedLine(r.id))
@@ -189,7 +191,7 @@
 
 func (c *client) handleEnd(r *request, msg *jsonlines.Message, line receivedLine) {
 	if r.client != c || c.misbehaved {
-		return // the end of what another client said to run
+		return // the end of a container that another client claimed
 	}
 	switch msg.CauseOrNone() {
 	case jsonlines.CauseNoCapacity, jsonlines.CauseNotSent:
@@ -199,13 +201,13 @@
 	}
 }
 
-// submit sends a submit that is to be answered within a time.
+// submit sends a request with a deadline.
 func (c *client) submit(choice uint32, left time.Duration) {
 	w := c.w
 	class := choice % uint32(len(workloadClasses))
 	r := &request{
-		id: w.newRequestID(), client: c, class: workloadClasses[class], spread: w.params.spread[class], memory: smallMemory,
-		service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
+		id: w.newRequestID(), client: c, class: workloadClasses[class], spread: w.params.spread[class],
+		memory: smallMemory, service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
 	}
 	r.key = "k" + r.id
 	r.line = r.encode(left, "")
@@ -222,7 +224,7 @@
 	})
 }
 
-// encode is the line of a request; more is added to its extras.
+// encode returns the line of the request, with more text appended to its extras.
 func (r *request) encode(left time.Duration, more string) string {
 	idempotency := ""
 	if r.class.effect == effectKeyed {
@@ -233,7 +235,7 @@
 		r.id, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
 }
 
-// lifetimeMillis is how long its container runs, from 0.05 to 3 s.
+// lifetimeMillis returns the part of the container's run time, from 0 to 2949 ms, that its ID determines.
 func (r *request) lifetimeMillis() int64 {
 	var sum int64
 	for _, digit := range []byte(r.id) {
@@ -242,12 +244,12 @@
 	return sum
 }
 
-// claim names a container as running at a machine.
+// claim claims that the container of a request runs on a machine.
 func (c *client) claim(r *request, at string, onRead func()) {
 	c.whenEstablished(func() { c.writeMarked(r.encode(0, ";at:"+at), onRead) })
 }
 
-// cancelOldest takes the client's oldest open request back.
+// cancelOldest cancels the client's oldest open request.
 func (c *client) cancelOldest() {
 	for _, r := range c.open {
 		if !r.awaitsAnswer() || r.sentAt == 0 {
--- a/internal/testbed/platformcheck/clientactions.go
+++ b/internal/testbed/platformcheck/clientactions.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// endContainer has a client end a container that runs, on any connection.
+// endContainer makes a client end a running container, which another client may have submitted.
 func (w *World) endContainer(e Event) {
 	known := w.knownPlacements()
 	if len(known) == 0 {
@@ -64,7 +64,7 @@
 	})
 }
 
-// misbehavingClient connects one that does what none may; nothing is owed to it.
+// misbehavingClient connects a client that sends invalid input or nothing. The rules do not cover it.
 func (w *World) misbehavingClient(e Event) {
 	bad := [...]string{
 		"{\"op\":\n", `{"op":"offer","call":"`, strings.Repeat("x", jsonlines.MaxLineBytes+1),
@@ -76,28 +76,28 @@
 	})
 }
 
-// respond sets how a machine responds to its next offers.
+// respond sets the responses of a machine to its next offers.
 func (w *World) respond(m *machine, e Event) {
 	for i := range 1 + e.Amount>>16%3 {
 		m.responses = append(m.responses, response((e.Amount+i)%uint32(responseCount)))
 	}
 }
 
-// exhaustDescriptors leaves the process none for a while.
+// exhaustDescriptors leaves the process one free descriptor or none for a time.
 func (w *World) exhaustDescriptors(e Event, span time.Duration) {
 	kernel := w.kernel
 	kernel.Limit = kernel.OpenDescriptors() + int(e.Target%2)
 	w.network.After(span, func() { kernel.Limit = w.params.descriptors })
 }
 
-// burst connects clients that say nothing.
+// burst connects clients that send nothing.
 func (w *World) burst(e Event) {
 	for range 4 + e.Amount%12 {
 		w.connect().misbehaved = true
 	}
 }
 
-// crowd connects many clients that say nothing, and one among them that asks.
+// crowd connects many clients that send nothing, and among them one that sends a request.
 func (w *World) crowd(e Event) {
 	size := 20 + e.Amount>>8%100
 	for i := range size {
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	offsetInterval   = time.Second             // a line with the last number comes so often
-	knownWithin      = 4500 * time.Millisecond // an event counts as told after this, whatever the bus does
-	oldAddressLinger = 1500 * time.Millisecond // an address that was left closes its connections then
+	offsetInterval   = time.Second             // between lines with the offset of the last event
+	knownWithin      = 4500 * time.Millisecond // until the process must know an event, whatever the service does
+	oldAddressLinger = 1500 * time.Millisecond // after a move, until the old address closes its connections
 )
 
-// discovery is the event bus, at one of its addresses.
+// discovery is the discovery service, which is active at one of its addresses.
 type discovery struct {
 	w         *World
 	endpoints [len(discoveryAddrs)]*simnet.Endpoint
-	active    int // index of the address that tells
+	active    int // index of the active address
 	events    []listEvent
 	watches   []*watch
 	silent    bool
 }
 
-// listEvent is a line of the bus, with the changes that it tells.
+// listEvent is an event of the machine list, with the changes that it reports.
 type listEvent struct {
 	line    string
 	changes []change
 }
 
-// change is a new state of a machine.
+// change is a change of the state of a machine.
 type change struct {
 	machine *machine
 	version int
@@ -51,17 +51,17 @@
 
 func (d *discovery) address() netip.AddrPort { return discoveryAddrs[d.active] }
 
-// publish numbers an event that names machines, and tells it.
+// publish publishes an event that lists machines. If whole is set, it is the whole machine list.
 func (d *discovery) publish(whole bool, machines ...*machine) {
-	d.number(listEvent{}, whole, machines)
+	d.publishEvent(listEvent{}, whole, machines)
 }
 
-// publishWithout is publish of a whole list by which a machine is gone that it does not name.
+// publishWithout publishes the whole machine list. It omits a machine, which is gone by that.
 func (d *discovery) publishWithout(gone *machine, machines ...*machine) {
-	d.number(listEvent{changes: []change{{gone, gone.stateVersion}}}, true, machines)
+	d.publishEvent(listEvent{changes: []change{{gone, gone.stateVersion}}}, true, machines)
 }
 
-func (d *discovery) number(event listEvent, whole bool, machines []*machine) {
+func (d *discovery) publishEvent(event listEvent, whole bool, machines []*machine) {
 	offset := len(d.events) + 1
 	entries := make([]string, 0, len(machines))
 	for _, m := range machines {
@@ -71,7 +71,7 @@
 	event.line = fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`,
 		offset, offset, whole, strings.Join(entries, ","))
 	d.events = append(d.events, event)
-	d.w.tracef("the bus has %s", event.line)
+	d.w.tracef("the discovery service publishes %s", event.line)
 	d.w.network.After(knownWithin, func() { d.recordKnown(event) })
 	if d.silent {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// recordRead notes that the process has recordRead an event.
+// recordRead records that the process has read an event.
 func (d *discovery) recordRead(event listEvent) {
 	d.recordKnown(event)
 	for _, c := range event.changes {
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordKnown notes that the process knows an event, or has to.
+// recordKnown records that the process knows an event, or must know it by now.
 func (d *discovery) recordKnown(event listEvent) {
 	for _, c := range event.changes {
 		m := c.machine
@@ -105,7 +105,8 @@
 	}
 }
 
-// restart numbers the events anew for an incarnation, whose first one is the whole list.
+// restart starts a new sequence of events for an incarnation of the process. Its first event is the whole machine list,
+// which the process gets with its configuration.
 func (d *discovery) restart() (known []string) {
 	d.events, d.silent = nil, false
 	d.endpoints[d.active].Refuse = false
@@ -115,14 +116,14 @@
 	return []string{event.line}
 }
 
-// disconnect ends all connections of the watch.
+// disconnect ends all connections of the process to the discovery service.
 func (d *discovery) disconnect() {
 	for _, watch := range slices.Clone(d.watches) {
 		watch.end()
 	}
 }
 
-// move goes on at the other address; the one that is left closes its connections later.
+// move activates the other address. The old address closes its connections later.
 func (d *discovery) move() {
 	old := d.watches
 	d.endpoints[d.active].Refuse = true
@@ -136,16 +137,16 @@
 	})
 }
 
-// watch is a connection of the process to the bus.
+// watch is a connection of the process to the discovery service.
 type watch struct {
 	discovery *discovery
 	address   int
 	conn      *simnet.PeerConn
 	lines     lineReader
-	following bool // the process has asked
-	sentUpTo  int  // the last event that was written
+	following bool // the process has sent the offset from which it follows
+	sentUpTo  int  // offset of the last event that was written
 	sentAny   bool // an event was written
-	gap       bool // one was passed over: the process cannot make use of later ones
+	gap       bool // an event was skipped: the process cannot apply later ones
 }
 
 // Connected implements simnet.PeerHandler.
@@ -154,13 +155,13 @@
 	x.discovery.watches = append(x.discovery.watches, x)
 }
 
-// Received implements simnet.PeerHandler: the process says from where on it wants to be told.
+// Received implements simnet.PeerHandler. The process sends the offset after which it wants events.
 func (x *watch) Received(_ *simnet.PeerConn, chunk simnet.Chunk) {
 	x.lines.feed(chunk, func(line receivedLine) {
 		number, ok := strings.CutPrefix(string(line.text), "from ")
 		from, err := strconv.Atoi(number)
 		if !ok || err != nil || from < 0 {
-			x.discovery.w.checker.report(ruleProcess, "the bus is asked for %q", line.text)
+			x.discovery.w.checker.report(ruleProcess, "the discovery service got an invalid request: %q", line.text)
 			return
 		}
 		x.following, x.sentUpTo = true, from
@@ -187,7 +188,7 @@
 	x.conn.Reset()
 }
 
-// sendUpTo writes the events up to a number that were not written yet.
+// sendUpTo writes the events up to an offset that were not written yet.
 func (x *watch) sendUpTo(offset int) {
 	for x.following && x.address == x.discovery.active && x.sentUpTo < offset {
 		x.sentUpTo++
@@ -195,7 +196,7 @@
 	}
 }
 
-// sendEvent writes one event.
+// sendEvent writes the event with an offset.
 func (x *watch) sendEvent(offset int) {
 	event := x.discovery.events[offset-1]
 	line := x.discovery.w.fault.discoveryLine(event.line)
@@ -207,7 +208,7 @@
 	})
 }
 
-// sendOffset writes the last number, now and each second.
+// sendOffset writes the offset of the last event, now and at each offsetInterval.
 func (x *watch) sendOffset() {
 	d := x.discovery
 	if !slices.Contains(d.watches, x) {
--- a/internal/testbed/platformcheck/events.go
+++ b/internal/testbed/platformcheck/events.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Kind is one of the ten sorts of events of docs/crossings.md.
+// Kind is one of the ten kinds of events of docs/crossings.md.
 type Kind uint8
 
-// The sorts, in the order of docs/crossings.md.
+// The kinds of events, in the order of docs/crossings.md.
 const (
 	KindTerm Kind = iota
 	KindReload
@@ -24,47 +24,46 @@
 	kindCount
 )
 
-func (s Kind) String() string {
-	return [...]string{"TERM", "HUP", "bus", "list", "client", "answer", "connection", "fd", "start", "time"}[s]
+func (k Kind) String() string {
+	return [...]string{"TERM", "HUP", "bus", "list", "client", "answer", "connection", "fd", "start", "time"}[k]
 }
 
-// kindWeights are how often each sort is drawn, in 200.
+// kindWeights are the relative frequencies of the kinds. Their sum is 200.
 var kindWeights = [kindCount]int{
 	KindTerm: 2, KindReload: 6, KindDiscovery: 12, KindMachineList: 20, KindClient: 76, KindResponse: 30,
 	KindConnection: 20, KindDescriptors: 6, KindStart: 10, KindTiming: 18,
 }
 
-// Event is one thing that happens to the process. What exactly is determined by the choices, and by the state that the
-// world is in by then.
+// Event is an event of a run. Its effect depends on its numbers and on the state of the run at its time.
 type Event struct {
-	At      time.Duration // since the begin of the run
+	At      time.Duration // since the start of the run
 	Kind    Kind
-	Variant uint32 // which of the things of the sort
-	Target  uint32 // to whom
-	Amount  uint32 // how long, how many
+	Variant uint32 // selects the action of the kind
+	Target  uint32 // selects the peer
+	Amount  uint32 // selects durations, numbers and choices of the action
 }
 
-// targetCount is how many different targetCount an event can name.
+// targetCount is the number of different targets of events.
 const targetCount = 12
 
-// gaps are the times between two events; many events come at the same moment.
-var gaps = [...]time.Duration{
+// eventGaps are the choices for the time between two events. Many events happen at the same time.
+var eventGaps = [...]time.Duration{
 	0, 0, 0, 0, time.Millisecond, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond,
 	60 * time.Millisecond, 250 * time.Millisecond,
 }
 
 const (
-	quietOneIn = 150             // events before which nothing happens for quietTime
-	quietTime  = 5 * time.Second // longer than what a silent bus counts as told by, and than connections stay unused
+	quietOneIn = 150             // one event in so many is preceded by quietTime
+	quietTime  = 5 * time.Second // longer than knownWithin and than the time that unused connections stay open
 )
 
-// Draw draws a list of events.
+// Draw returns a random list of events.
 func Draw(seed uint64, count int) []Event {
 	random := rand.New(rand.NewPCG(seed, 1))
 	events := make([]Event, 0, count)
 	at := 20 * time.Millisecond
 	for range count {
-		at += gaps[random.IntN(len(gaps))]
+		at += eventGaps[random.IntN(len(eventGaps))]
 		if random.IntN(quietOneIn) == 0 {
 			at += quietTime
 		}
@@ -82,34 +81,34 @@
 		total += weight
 	}
 	left := random.IntN(total)
-	for sort, weight := range kindWeights {
+	for kind, weight := range kindWeights {
 		if left < weight {
-			return Kind(sort)
+			return Kind(kind)
 		}
 		left -= weight
 	}
 	return KindTiming
 }
 
-// pickDuration takes a time from the amount of an event.
+// pickDuration returns the duration in a span that the amount of the event selects.
 func (e Event) pickDuration(span [2]time.Duration) time.Duration {
 	return span[0] + time.Duration(uint64(e.Amount)*uint64(span[1]-span[0])>>32)
 }
 
-// String describes an event in words.
+// String describes the event in words.
 func (e Event) String() string {
 	return fmt.Sprintf("%8.1f ms  %-10s %s", float64(e.At)/float64(time.Millisecond), e.Kind, e.action().describe(e))
 }
 
-// action is one variant of a sort of event: it does something at once, or something that lasts.
+// action is a variant of a kind of event. Either do or doFor is set; doFor has a lasting effect.
 type action struct {
-	text  string // ends with "for" or "by" where a span follows
+	text  string // ends with "for" or "by" if doFor is set, because the duration follows
 	do    func(w *World, e Event)
-	span  [2]time.Duration // the shortest and the longest one
+	span  [2]time.Duration // shortest and longest duration of doFor
 	doFor func(w *World, e Event, span time.Duration)
 }
 
-// play has an event happen.
+// play carries out the event.
 func (e Event) play(w *World) {
 	a := e.action()
 	if a.doFor != nil {
@@ -119,7 +118,7 @@
 	a.do(w, e)
 }
 
-// action returns the variant that an event chose.
+// action returns the action that the event selects.
 func (e Event) action() action {
 	variants := actions[e.Kind]
 	return variants[e.Variant%uint32(len(variants))]
--- a/internal/testbed/platformcheck/faults.go
+++ b/internal/testbed/platformcheck/faults.go
@@ -14,51 +14,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is a fault that is put between the process and what it stands on: a check that does not find it checks nothing.
-// The process itself has none of them.
+// Fault is an injected fault between the process and its kernel, its scheduler or its peers. Each fault must be
+// detected by a check, which shows that the check works. The code of the process itself is not changed.
 type Fault string
 
 // The faults.
 const (
 	NoFault Fault = ""
-	// LostAnswer has one in a few requests that fail or are refused get no answer.
+	// LostAnswer drops the answers of some requests that fail or are rejected.
 	LostAnswer Fault = "answer"
-	// ForgottenAttempt has an attempt that timed out or was lost count as one that never ran.
+	// ForgottenAttempt makes an attempt that timed out or was lost count as one that never ran.
 	ForgottenAttempt Fault = "attempt"
-	// IgnoredDrain has the process take machines that drain for ready ones.
+	// IgnoredDrain makes the process consider draining machines ready.
 	IgnoredDrain Fault = "drain"
-	// LeakedDescriptor has the descriptors of some connections that ended never closed.
+	// LeakedDescriptor leaves the descriptors of some ended connections open.
 	LeakedDescriptor Fault = "descriptor"
-	// RepeatedWrite has a write that was taken in part begin anew.
+	// RepeatedWrite makes a partial write start again from the beginning.
 	RepeatedWrite Fault = "write"
-	// LostEnd has the ends of containers that run not reach the process.
+	// LostEnd loses the ends of some running containers on their way to the process.
 	LostEnd Fault = "end"
-	// DelayedEnd has the ends of some containers that run reach the process late.
+	// DelayedEnd delays the ends of some running containers on their way to the process.
 	DelayedEnd Fault = "delay"
-	// IgnoredSpread has the decisions know of no spread limits.
+	// IgnoredSpread removes the spread limits from the settings of the scheduler.
 	IgnoredSpread Fault = "spread"
-	// UncountedClaim has the decisions not hear of containers that clients say to run.
+	// UncountedClaim hides the claims of clients from the scheduler.
 	UncountedClaim Fault = "claim"
-	// IgnoredSlowStart has the decisions take machines that have just started for others.
+	// IgnoredSlowStart removes the slow-start period from the settings of the scheduler.
 	IgnoredSlowStart Fault = "cold"
-	// WholeBudget has the decisions spend the parts of all schedulers in the budgets of slow start.
+	// WholeBudget makes the scheduler spend the slow-start budgets alone, as if there were no other schedulers.
 	WholeBudget Fault = "part"
 )
 
-// Faults are all faults.
+// Faults lists all faults.
 var Faults = []Fault{
 	LostAnswer, ForgottenAttempt, IgnoredDrain, LeakedDescriptor, RepeatedWrite, LostEnd, DelayedEnd,
 	IgnoredSpread, UncountedClaim, IgnoredSlowStart, WholeBudget,
 }
 
-// UnknownFaultError is returned for the name of a fault that there is not.
+// UnknownFaultError is returned for a name that is not the name of a fault.
 type UnknownFaultError struct{ Name string }
 
 func (e *UnknownFaultError) Error() string {
 	return fmt.Sprintf("there is no fault %q, but %s", e.Name, FaultNames())
 }
 
-// FaultNames are the names of all faults, with commas between them.
+// FaultNames returns the names of all faults, separated by commas.
 func FaultNames() string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
@@ -67,7 +67,7 @@
 	return strings.Join(names, ", ")
 }
 
-// ParseFault is the fault of a name. The error is an *UnknownFaultError.
+// ParseFault returns the fault with a name. The error is an *UnknownFaultError.
 func ParseFault(name string) (Fault, error) {
 	if fault := Fault(name); fault == NoFault || slices.Contains(Faults, fault) {
 		return fault, nil
@@ -75,25 +75,25 @@
 	return NoFault, &UnknownFaultError{name}
 }
 
-// everyNth is how many times something goes right before it goes wrong once, with a fault that counts.
+// everyNth says how often a counting fault occurs: once in so many times.
 const everyNth = 3
 
-// endDelay is how much later an end reaches the process with DelayedEnd.
+// endDelay is the delay of an end with DelayedEnd.
 const endDelay = 3 * time.Second
 
-// installedFault is a fault of one world.
+// installedFault is the fault of a run.
 type installedFault struct {
 	fault Fault
 	count int
 }
 
-// triggers counts, and reports whether it goes wrong this time.
-func (f *installedFault) triggers() bool {
+// occurs counts its calls and reports whether the fault occurs this time.
+func (f *installedFault) occurs() bool {
 	f.count++
 	return f.count%everyNth == 0
 }
 
-// wrap puts the fault between the process and its kernel and decisions.
+// wrap puts the fault between the process and its kernel or its scheduler.
 func (f *installedFault) wrap(
 	kernel eventloop.Kernel, decisions platform.Scheduler,
 ) (eventloop.Kernel, platform.Scheduler) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// settings are what the decisions go by in place of the settings of the process.
+// settings returns the settings that the scheduler gets in place of those of the process.
 func (f *installedFault) settings(config scheduler.Config) scheduler.Config {
 	switch f.fault {
 	case IgnoredSpread:
@@ -121,12 +121,12 @@
 		config.SlowStartPeriod = 0
 	case WholeBudget:
 		config.SchedulerIndex, config.SchedulerCount = 0, 1
-	default: // they are those of the process
+	default: // unchanged
 	}
 	return config
 }
 
-// discoveryLine is what the process reads in place of a line of the discovery service.
+// discoveryLine returns the line that the process reads in place of a line of the discovery service.
 func (f *installedFault) discoveryLine(line string) string {
 	if f.fault == IgnoredDrain {
 		return strings.ReplaceAll(line, `"health":"draining"`, `"health":"ready"`)
@@ -134,15 +134,15 @@
 	return line
 }
 
-// releaseLine is what the process reads in place of a machine's line that a container has ended.
-func (f *installedFault) releaseLine(line string) string {
-	if (f.fault == LostEnd || f.fault == DelayedEnd) && f.triggers() {
+// containerEndLine returns the line that the process reads in place of a machine's line that a container has ended.
+func (f *installedFault) containerEndLine(line string) string {
+	if (f.fault == LostEnd || f.fault == DelayedEnd) && f.occurs() {
 		return strings.Replace(line, `"op":"end"`, `"op":"ringing"`, 1)
 	}
 	return line
 }
 
-// faultyDecisions changes what the decisions hear and say.
+// faultyDecisions changes the events and actions of the scheduler.
 type faultyDecisions struct {
 	platform.Scheduler
 	fault *installedFault
@@ -157,7 +157,7 @@
 		}
 	case UncountedClaim:
 		events = slices.DeleteFunc(events, isClaim)
-	default: // the events are heard as they are
+	default: // events unchanged
 	}
 	actions := d.Scheduler.Handle(now, events)
 	if d.fault.fault == LostAnswer {
@@ -166,7 +166,7 @@
 	return actions
 }
 
-// forgetAttempt takes an attempt that may run for one that was refused.
+// forgetAttempt turns the end of an attempt that may run into a rejection.
 func forgetAttempt(event scheduler.Event) scheduler.Event {
 	ended, ok := event.(scheduler.AttemptEnded)
 	if ok && (ended.Outcome == scheduler.OutcomeTimedOut || ended.Outcome == scheduler.OutcomeLost) {
@@ -184,13 +184,13 @@
 func (d *faultyDecisions) losesAnswer(action scheduler.Action) bool {
 	switch action.(type) {
 	case scheduler.Reject, scheduler.Fail:
-		return d.fault.triggers()
+		return d.fault.occurs()
 	default:
 		return false
 	}
 }
 
-// leakingKernel does not close some descriptors of connections.
+// leakingKernel leaves the descriptors of some connections open.
 type leakingKernel struct {
 	eventloop.Kernel
 	fault *installedFault
@@ -199,13 +199,13 @@
 // Close implements eventloop.Kernel.
 func (k *leakingKernel) Close(fd int) {
 	_, err := k.Read(fd, nil)
-	if isConnection := !errors.Is(err, unix.ENOTCONN) && !errors.Is(err, unix.EBADF); isConnection && k.fault.triggers() {
+	if isConnection := !errors.Is(err, unix.ENOTCONN) && !errors.Is(err, unix.EBADF); isConnection && k.fault.occurs() {
 		return
 	}
 	k.Kernel.Close(fd)
 }
 
-// repeatingKernel takes writes in part without saying so.
+// repeatingKernel reports partial writes as not done at all.
 type repeatingKernel struct{ eventloop.Kernel }
 
 // Write implements eventloop.Kernel.
--- a/internal/testbed/platformcheck/form.go
+++ b/internal/testbed/platformcheck/form.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// worldParams is what differs between the worlds of two seeds beside their events and their chance: the settings that the
-// process is given.
+// worldParams holds the parameters of a run that its seed selects, apart from the events and the random numbers: the
+// number of machines and the settings and limits of the process.
 type worldParams struct {
-	machines    int           // at the begin
-	descriptors int           // that the process may have
-	deadline    time.Duration // the longest time that clients wait
+	machines    int           // at the start of the run
+	descriptors int           // limit of the process
+	deadline    time.Duration // of the requests of clients
 	spread      []spreadLimit // by workload class
 	slowStart   slowStart
 }
 
-// deadlines are the longest times that clients wait, one of them in each run.
+// deadlines are the choices for the deadline of requests.
 var deadlines = [...]time.Duration{300 * ms, 1500 * ms, 4000 * ms}
 
-// spreadChoices are the limits of the classes, one row of them in each run.
+// spreadChoices are the choices for the spread limits, with one limit for each workload class.
 var spreadChoices = [...][]spreadLimit{
 	{{}, {}, {}},
 	{{scopeMachine, 1}, {scopeMachine, 1}, {scopeMachine, 1}},
@@ -24,8 +24,9 @@
 	{{scopeMachine, 2}, {scopeRackGroup, 1}, {scopeZone, 1}},
 }
 
-// slowStartChoices are the settings of slow start, one of them in each run. With a short window, connections come up
-// within a sixteenth of it, so that an eighth covers an offer's way; the last form is as sites have it.
+// slowStartChoices are the choices for the settings of slow start. Where the window is short, connections are
+// established within a sixteenth of it, so that an eighth of it covers the transit of an offer. The last choice has the
+// values that sites use.
 var slowStartChoices = [...]slowStart{
 	{schedulers: 1, budget: 30, window: 3000 * ms, period: 2000 * ms, connectTimeout: 250 * ms},
 	{schedulers: 1, budget: 1, window: 400 * ms, period: 3000 * ms, connectTimeout: 25 * ms},
@@ -36,19 +37,20 @@
 	{schedulers: 1, budget: 1, window: 1500 * ms, period: 8000 * ms, connectTimeout: 250 * ms},
 }
 
-// descriptorLimits are how many descriptors the process may have, one of them in each run.
+// descriptorLimits are the choices for the descriptor limit of the process.
 var descriptorLimits = [...]int{96, 64}
 
 const (
 	fewMachines  = 6
 	manyMachines = 300
-	manyOneIn    = 11 // runs that begin with manyMachines
+	manyOneIn    = 11 // one run in so many starts with manyMachines
 
-	// paramCombinations is the number of forms. Seeds that differ by it have the same one.
+	// paramCombinations is the number of combinations of parameters. Seeds that differ by it have the same combination.
 	paramCombinations = len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * manyOneIn
 )
 
-// paramsOf is the form of a seed. The numbers of its parts have no common divisor, so that each meets each.
+// paramsOf returns the parameters of a seed. The numbers of choices are pairwise coprime, so that all combinations
+// occur.
 func paramsOf(seed uint64) worldParams {
 	machines := fewMachines
 	if seed%manyOneIn == manyOneIn-1 {
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Violation is a broken rule, as a peer observed it.
+// Violation is a violation of a rule that a peer observed.
 type Violation struct {
 	At   time.Duration
 	Rule string
@@ -19,164 +19,164 @@
 // The rules.
 const (
 	ruleAnswer    = "rule 1 (one final answer)"
-	ruleEndReport = "rule 1 (ends are told)"
-	ruleDuplicate = "rule 2 (no effect twice)"
-	ruleDraining  = "rule 3 (nothing to a machine that drains)"
+	ruleEndReport = "rule 1 (ends are reported)"
+	ruleDuplicate = "rule 2 (no duplicate effect)"
+	ruleDraining  = "rule 3 (no offer to a draining machine)"
 	ruleSlowStart = "rule 4 (slow start)"
-	ruleSpread    = "rule 5 (spread kept)"
+	ruleSpread    = "rule 5 (spread limits)"
 	ruleProcess   = "process"
 )
 
-// checker keeps account of what the peers observe.
+// checker records the observations of the peers and checks the rules.
 type checker struct {
 	now        func() time.Duration
 	after      func(time.Duration, func())
-	requests   map[string]*request // by call
+	requests   map[string]*request // by ID
 	offersOf   map[string][]*offer // by service
 	Violations []Violation
 }
 
-func (j *checker) report(rule, format string, args ...any) {
-	j.Violations = append(j.Violations, Violation{j.now(), rule, fmt.Sprintf(format, args...)})
+func (c *checker) report(rule, format string, args ...any) {
+	c.Violations = append(c.Violations, Violation{c.now(), rule, fmt.Sprintf(format, args...)})
 }
 
-// recordRequest notes a request and has its answer checked in time.
-func (j *checker) recordRequest(r *request, left time.Duration) {
-	r.sentAt = j.now()
+// recordRequest records a sent request and schedules the check of its answer.
+func (c *checker) recordRequest(r *request, left time.Duration) {
+	r.sentAt = c.now()
 	r.due = r.sentAt + left
-	j.after(wireSlack, func() { r.connAcceptedLate = !r.client.conn.WasAccepted() })
-	j.after(left+answerSlack+time.Second, func() { j.checkAnswered(r) })
+	c.after(wireSlack, func() { r.connAcceptedLate = !r.client.conn.WasAccepted() })
+	c.after(left+answerSlack+time.Second, func() { c.checkAnswered(r) })
 }
 
-func (j *checker) checkAnswered(r *request) {
+func (c *checker) checkAnswered(r *request) {
 	switch {
 	case !r.awaitsAnswer():
-	case r.connAcceptedLate && j.now() < r.due+5*time.Second:
-		j.after(time.Second, func() { j.checkAnswered(r) })
+	case r.connAcceptedLate && c.now() < r.due+5*time.Second:
+		c.after(time.Second, func() { c.checkAnswered(r) })
 	default:
-		j.report(ruleAnswer, "request %s (%s) has no answer %v after its time", r.id, r.class.name, j.now()-r.due)
+		c.report(ruleAnswer, "request %s (%s) has no answer %v after its deadline", r.id, r.class.name, c.now()-r.due)
 		r.excused = true
 	}
 }
 
-// recordAnswer takes in a line to a client that ends or accepts a request.
-func (j *checker) recordAnswer(r *request, a answer, line receivedLine) {
+// recordAnswer records and checks a line that answers a request.
+func (c *checker) recordAnswer(r *request, a answer, line receivedLine) {
 	if r.answer != unanswered {
-		j.report(ruleAnswer, "request %s has a second answer", r.id)
+		c.report(ruleAnswer, "request %s has a second answer", r.id)
 		return
 	}
 	r.answer, r.answerIteration, r.answerMayBeDelayed = a, line.first.Iteration, line.mayBeDelayed()
 	if line.last.WrittenAt > r.due+answerSlack && !r.connAcceptedLate && !line.mayBeDelayed() {
-		j.report(ruleAnswer, "request %s is answered %v after its time", r.id, line.last.WrittenAt-r.due)
+		c.report(ruleAnswer, "request %s is answered %v after its deadline", r.id, line.last.WrittenAt-r.due)
 	}
 	if r.cancelled && r.cancelIteration > 0 && r.answerIteration > r.cancelIteration && !line.mayBeDelayed() {
-		j.report(ruleAnswer, "request %s is answered after its client took it back", r.id)
+		c.report(ruleAnswer, "request %s is answered after its cancellation", r.id)
 	}
 	for _, o := range r.offers {
-		j.checkOfferAfterEnd(o)
-		j.checkRejection(o)
+		c.checkOfferAfterEnd(o)
+		c.checkRejection(o)
 	}
 }
 
-// recordConnectionEnd takes in that the process has closed a connection on which a request is open.
+// recordConnectionEnd checks a request that is open when the process closes its connection.
 //
-// A request may cross the end of its connection on the way: one that was sent longer ago than that is lost, but for the
-// time in which the process was not run, or was closing a connection whose client did not take the output before it.
-func (j *checker) recordConnectionEnd(r *request, onItsWay time.Duration) {
+// A request in transit may cross the end of its connection. A request that was sent earlier must have been answered.
+// The time in which the process was stalled, or in which the client left its input unread, does not count.
+func (c *checker) recordConnectionEnd(r *request, transitLimit time.Duration) {
 	if !r.awaitsAnswer() {
 		return
 	}
 	r.excused = true
 	if r.sentAt == 0 || !r.client.conn.WasAccepted() || r.client.conn.Congested() {
-		return // the rest of an answer that a client does not take is not owed
+		return // the process need not answer a client that does not read
 	}
 	closedAt := r.client.conn.ClosedAt()
-	waitedFrom := max(r.sentAt, r.client.unreadEnd)
+	waitedFrom := max(r.sentAt, r.client.unreadUntil)
 	age := closedAt - waitedFrom - r.client.w.stalledWithin(waitedFrom, closedAt)
 	switch {
 	case r.readIteration > 0:
-		j.report(ruleAnswer, "request %s was read, and its connection closed without an answer", r.id)
-	case age > onItsWay:
-		j.report(ruleAnswer, "request %s was left unread for %v, and its connection closed", r.id, age)
+		c.report(ruleAnswer, "request %s was read, and its connection closed without an answer", r.id)
+	case age > transitLimit:
+		c.report(ruleAnswer, "request %s was left unread for %v, and its connection closed", r.id, age)
 	}
 }
 
-// recordOffer takes in an offer that has come whole to a machine.
-func (j *checker) recordOffer(o *offer) {
+// recordOffer records and checks an offer that a machine has received.
+func (c *checker) recordOffer(o *offer) {
 	r := o.request
 	r.offers = append(r.offers, o)
-	j.checkOfferAfterEnd(o)
-	j.checkRejection(o)
-	j.checkDraining(o)
+	c.checkOfferAfterEnd(o)
+	c.checkRejection(o)
+	c.checkDraining(o)
 	if o.remainingMillis <= 0 {
-		j.report(ruleAnswer, "request %s is offered to %s with %d ms left", r.id, o.machine.id, o.remainingMillis)
+		c.report(ruleAnswer, "request %s is offered to %s with %d ms left", r.id, o.machine.id, o.remainingMillis)
 	}
-	j.after(300*time.Millisecond, func() { j.checkPairs(o) })
-	j.offersOf[r.service] = append(j.offersOf[r.service], o)
-	j.after(spreadCheckDelay, func() { j.checkSpread(o) })
+	c.after(300*time.Millisecond, func() { c.checkPairs(o) })
+	c.offersOf[r.service] = append(c.offersOf[r.service], o)
+	c.after(spreadCheckDelay, func() { c.checkSpread(o) })
 }
 
-// checkOfferAfterEnd checks that nothing is sent for a request that has its answer or was taken back.
-func (j *checker) checkOfferAfterEnd(o *offer) {
+// checkOfferAfterEnd checks that no offer is sent for an answered or cancelled request.
+func (c *checker) checkOfferAfterEnd(o *offer) {
 	r := o.request
 	if o.mayBeDelayed {
 		return
 	}
 	if r.answer != unanswered && !r.answerMayBeDelayed && o.iteration > r.answerIteration {
-		j.report(ruleAnswer, "request %s is offered to %s after its answer", r.id, o.machine.id)
+		c.report(ruleAnswer, "request %s is offered to %s after its answer", r.id, o.machine.id)
 	}
 	if r.cancelled && r.cancelIteration > 0 && o.iteration > r.cancelIteration {
-		j.report(ruleAnswer, "request %s is offered to %s after its client took it back", r.id, o.machine.id)
+		c.report(ruleAnswer, "request %s is offered to %s after its cancellation", r.id, o.machine.id)
 	}
 }
 
-// checkRejection checks that a client is told of no effect only where that is so.
-func (j *checker) checkRejection(o *offer) {
+// checkRejection checks that a request of an unsafe class is rejected only if it never ran.
+func (c *checker) checkRejection(o *offer) {
 	r := o.request
 	if r.answer == rejected && r.class.effect == effectUnsafe && !o.neverRan() {
-		j.report(ruleDuplicate, "request %s (unsafe) is refused although it may run on %s", r.id, o.machine.id)
+		c.report(ruleDuplicate, "request %s (unsafe) is rejected although it may run on %s", r.id, o.machine.id)
 	}
 }
 
-// checkDraining checks that the process was not told long ago that the machine takes nothing new.
-func (j *checker) checkDraining(o *offer) {
-	told := o.machine.unavailableKnownAt
-	if told != 0 && o.writtenAt > told+stopSendingWithin+wireSlack && !o.mayBeDelayed {
-		j.report(ruleDraining, "request %s is offered to %s %v after it was told to be %s",
-			o.request.id, o.machine.id, o.writtenAt-told, o.machine.state)
+// checkDraining checks that the process did not know for longer than the grace period that the machine is unavailable.
+func (c *checker) checkDraining(o *offer) {
+	knownAt := o.machine.unavailableKnownAt
+	if knownAt != 0 && o.writtenAt > knownAt+stopSendingWithin+wireSlack && !o.mayBeDelayed {
+		c.report(ruleDraining, "request %s is offered to %s %v after the process knew that it is %s",
+			o.request.id, o.machine.id, o.writtenAt-knownAt, o.machine.state)
 	}
 }
 
-// checkPairs checks an offer against each other one of its request.
-func (j *checker) checkPairs(o *offer) {
+// checkPairs checks an offer against each other offer of its request.
+func (c *checker) checkPairs(o *offer) {
 	for _, other := range o.request.offers {
 		switch {
 		case other == o:
 		case other.writtenAt < o.writtenAt, other.writtenAt == o.writtenAt && other.finishedBefore(o):
-			j.checkPair(other, o)
+			c.checkPair(other, o)
 		default:
-			j.checkPair(o, other)
+			c.checkPair(o, other)
 		}
 	}
 }
 
-// checkPair checks that the later one of two offers was allowed.
-func (j *checker) checkPair(first, second *offer) {
+// checkPair checks that the second of two offers of a request was allowed.
+func (c *checker) checkPair(first, second *offer) {
 	if first.machine.partitioned || second.machine.partitioned || first.mayBeDelayed || second.mayBeDelayed {
 		return
 	}
 	r := first.request
-	outFor := second.writtenAt - first.writtenAt
+	elapsed := second.writtenAt - first.writtenAt
 	switch {
 	case first.finishedAt == 0 || first.finishedAt > second.writtenAt+20*time.Millisecond:
-		j.report(ruleDuplicate, "request %s is offered to %s while it is out to %s",
+		c.report(ruleDuplicate, "request %s is offered to %s while its offer to %s is in flight",
 			r.id, second.machine.id, first.machine.id)
 	case first.neverRan() || r.class.effect == effectSafe:
 	case r.class.effect == effectUnsafe:
-		j.report(ruleDuplicate, "request %s (unsafe) is offered to %s although it may run on %s",
+		c.report(ruleDuplicate, "request %s (unsafe) is offered to %s although it may run on %s",
 			r.id, second.machine.id, first.machine.id)
-	case outFor > keyedWindow+wireSlack:
-		j.report(ruleDuplicate, "request %s (keyed) is offered to %s %v after %s",
-			r.id, second.machine.id, outFor, first.machine.id)
+	case elapsed > keyedWindow+wireSlack:
+		c.report(ruleDuplicate, "request %s (keyed) is offered to %s %v after it was offered to %s",
+			r.id, second.machine.id, elapsed, first.machine.id)
 	}
 }
--- a/internal/testbed/platformcheck/lines.go
+++ b/internal/testbed/platformcheck/lines.go
@@ -8,25 +8,25 @@
 	"glenport/internal/testbed/simnet"
 )
 
-// overlongPrefixBytes is how much is shown of a line that is too long.
+// overlongPrefixBytes is the length of the prefix that is shown of an overlong line.
 const overlongPrefixBytes = 256
 
-// lineReader joins what the process writes on one connection to lines.
+// lineReader assembles lines from the data that the process writes on one connection.
 type lineReader struct {
 	partial []byte
-	first   simnet.Chunk // that with the first byte of the line
+	first   simnet.Chunk // holds the first byte of the line
 }
 
-// receivedLine is a line of the process.
+// receivedLine is a line written by the process.
 type receivedLine struct {
 	text        []byte
-	first, last simnet.Chunk // those with its first and its last byte
+	first, last simnet.Chunk // hold its first and its last byte
 }
 
-// mayBeDelayed reports whether the line may have been written later than it was meant to be, as the peer took too little.
+// mayBeDelayed reports whether the process may have written the line late because the peer read too slowly.
 func (l receivedLine) mayBeDelayed() bool { return l.first.Congested || l.last.Congested }
 
-// feed passes on the lines that a chunk completes.
+// feed passes each line that a chunk completes to handle.
 func (r *lineReader) feed(chunk simnet.Chunk, handle func(receivedLine)) {
 	data := chunk.Data
 	for len(data) > 0 {
@@ -45,7 +45,8 @@
 	}
 }
 
-// truncateOverlong passes on the begin of a line that is longer than any may be, in place of the line: it may have no end.
+// truncateOverlong passes the prefix of a line that exceeds the maximum length to handle, because the line may never
+// end.
 func (r *lineReader) truncateOverlong(chunk simnet.Chunk, handle func(receivedLine)) {
 	if len(r.partial) > jsonlines.MaxLineBytes {
 		handle(receivedLine{text: r.partial[:overlongPrefixBytes], first: r.first, last: chunk})
@@ -53,29 +54,29 @@
 	}
 }
 
-// decode reads the message of a line.
+// decode decodes the message of a line.
 func (l receivedLine) decode() (*jsonlines.Message, error) { return jsonlines.Decode(l.text) }
 
-func endLine(call string, cause int) string {
-	return fmt.Sprintf(`{"op":"end","call":%q,"with":{},"why":%d}`+"\n", call, cause)
+func endLine(id string, cause int) string {
+	return fmt.Sprintf(`{"op":"end","call":%q,"with":{},"why":%d}`+"\n", id, cause)
 }
 
-func endLineWithNote(call string, cause int, note string) string {
-	return fmt.Sprintf(`{"op":"end","call":%q,"with":{"note":%q},"why":%d}`+"\n", call, note, cause)
+func endLineWithNote(id string, cause int, note string) string {
+	return fmt.Sprintf(`{"op":"end","call":%q,"with":{"note":%q},"why":%d}`+"\n", id, note, cause)
 }
 
-func endedLine(call string) string {
-	return fmt.Sprintf(`{"op":"ended","call":%q,"with":{}}`+"\n", call)
+func endedLine(id string) string {
+	return fmt.Sprintf(`{"op":"ended","call":%q,"with":{}}`+"\n", id)
 }
 
-func acceptLine(call, description string) string {
-	return fmt.Sprintf(`{"op":"accept","call":%q,"with":{},"desc":%q}`+"\n", call, description)
+func acceptLine(id, description string) string {
+	return fmt.Sprintf(`{"op":"accept","call":%q,"with":{},"desc":%q}`+"\n", id, description)
 }
 
-func testLine(call string) string {
-	return fmt.Sprintf(`{"op":"test","call":%q,"with":{},"why":0}`+"\n", call)
+func testLine(id string) string {
+	return fmt.Sprintf(`{"op":"test","call":%q,"with":{},"why":0}`+"\n", id)
 }
 
-func testedLine(call string) string {
-	return fmt.Sprintf(`{"op":"tested","call":%q,"with":{"load":"x0:12;x1:40"},"why":1}`+"\n", call)
+func testedLine(id string) string {
+	return fmt.Sprintf(`{"op":"tested","call":%q,"with":{"load":"x0:12;x1:40"},"why":1}`+"\n", id)
 }
--- a/internal/testbed/platformcheck/logjudge.go
+++ b/internal/testbed/platformcheck/logjudge.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// logChecker is the log of the process. What is logged as an error, illegal state transitions among it, is a violation.
+// logChecker is the log handler of the process. A message at error level, such as an illegal state transition, is a
+// violation.
 type logChecker struct{ w *World }
 
 // Enabled implements slog.Handler.
@@ -21,7 +22,7 @@
 		return true
 	})
 	if record.Level >= slog.LevelError {
-		l.w.checker.report(ruleProcess, "it logs: %s", text)
+		l.w.checker.report(ruleProcess, "the process logs an error: %s", text)
 		return nil
 	}
 	l.w.tracef("log: %s", text)
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -9,40 +9,40 @@
 	"glenport/internal/testbed/simnet"
 )
 
-// Healths of a machine, as the discovery service writes them.
+// States of a machine, by the names that the discovery service uses.
 const (
 	healthReady    = "ready"
 	healthDraining = "draining"
 	healthGone     = "gone"
 )
 
-// machine is one machine at an address.
+// machine is a machine of the cluster.
 type machine struct {
 	w        *World
 	id       string
-	number   int // of the address
+	number   int // determines the address
 	endpoint *simnet.Endpoint
 
 	state              string
 	startMillis        int64
-	stateVersion       int           // the number of the last change of the state
-	unavailableKnownAt time.Duration // when the process was told that it takes nothing new; 0: it does
-	unreliable         bool          // there was cause to hold what it runs for lost
+	stateVersion       int           // increases with each change of the state
+	unavailableKnownAt time.Duration // when the process knew that it takes no offers; 0: it takes them
+	unreliable         bool          // the process had cause to consider its containers lost
 
-	firstReadAt      time.Duration // when the process has first read of it; 0: it has not
+	firstReadAt      time.Duration // when the process first read of it; 0: not yet
 	startedAt        time.Duration
-	startReadAt      time.Duration   // when the process has read of its start; 0: it has not, or that is long ago
-	sends            []time.Duration // offers and probes to it
-	falseClaimReadBy int             // the last incarnation of the process that has read a made-up claim to the machine
-	uncertainUntil   time.Duration   // what was sent to it before may be lost to the process
-	partitioned      bool            // it is silent; what comes and goes waits
-	deferred         []func()        // until it is no longer
+	startReadAt      time.Duration   // when the process read its last start; 0: not yet, or it started before the run
+	sends            []time.Duration // times of offers and probes to it
+	falseClaimReadBy int             // last incarnation of the process that has read a false claim for the machine
+	uncertainUntil   time.Duration   // the process may consider offers lost that it sent before
+	partitioned      bool            // it is cut off; what it sends and receives is deferred
+	deferred         []func()        // called when the partition ends
 	conns            []*machineConn
-	responses        []response // to the next offers
+	responses        []response // to its next offers
 	containers       []*placement
-	unreadEnds       []endNotice // to be written on the next connection, until one process has read them there
+	unreadEnds       []endNotice // repeated on each new connection, until the process has read them there
 
-	stoppedPlacements []*placement // by its stop
+	stoppedPlacements []*placement // containers that ended when the machine was stopped
 }
 
 func (w *World) newMachine(id string, number int) *machine {
@@ -52,20 +52,20 @@
 	return m
 }
 
-// listEntry is the machine in an event of the discovery service.
+// listEntry returns the entry of the machine in an event of the discovery service.
 func (m *machine) listEntry() string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":%q,"block":%d,"health":%q,"share":1,"born_ms":%d,`+
 		`"free":[20,50]}`, m.id, machineAddr(m.number), zoneNames[m.zone()], machineType, m.rackGroup(), m.state,
 		m.startMillis)
 }
 
-// rackGroup and zone are where the machine is: two addresses make a rack group, and the rack groups take turns in the
-// zones.
+// rackGroup returns the rack group of the machine. Machines with consecutive addresses share a rack group.
 func (m *machine) rackGroup() int { return m.number / machinesPerRackGroup }
 
+// zone returns the index of the machine's zone. The rack groups alternate between the zones.
 func (m *machine) zone() int { return m.rackGroup() % len(zoneNames) }
 
-// whenReachable does something now, or once the machine is no longer cut off.
+// whenReachable calls a function now, or when the partition of the machine ends.
 func (m *machine) whenReachable(do func()) {
 	if m.partitioned {
 		m.deferred = append(m.deferred, do)
@@ -74,7 +74,7 @@
 	do()
 }
 
-// partition makes the machine silent for a time.
+// partition cuts the machine off from the network for a time.
 func (m *machine) partition(span time.Duration) {
 	if m.partitioned {
 		return
@@ -84,7 +84,7 @@
 	m.w.network.After(span, m.restore)
 }
 
-// restore ends a cut, and all that keeps connections from coming up.
+// restore ends a partition, and refused or delayed connections.
 func (m *machine) restore() {
 	m.partitioned, m.endpoint.Silent, m.endpoint.Refuse, m.endpoint.Delay = false, false, m.state == healthGone, 0
 	deferred := m.deferred
@@ -94,16 +94,16 @@
 	}
 }
 
-// refuse has connections refused for a time.
+// refuse makes the machine refuse connections for a time.
 func (m *machine) refuse(span time.Duration) {
 	m.endpoint.Refuse, m.unreliable = true, true
 	m.extendUncertainty(m.w.now() + span)
 	m.w.network.After(span, func() { m.endpoint.Refuse = m.state == healthGone })
 }
 
-// stop ends the machine's process: connections are reset, and what runs is cut.
+// stop stops the machine. Its connections are reset and its containers end without a report.
 func (m *machine) stop() {
-	m.restore() // what it was sent before counts
+	m.restore() // handle what it was sent before
 	m.unreliable = true
 	for _, p := range m.containers {
 		p.endedAt = m.w.now()
@@ -120,7 +120,7 @@
 	}
 }
 
-// nextResponse takes the response to the next offer.
+// nextResponse removes and returns the response to the next offer.
 func (m *machine) nextResponse() response {
 	if len(m.responses) == 0 {
 		return respondAccept
@@ -130,8 +130,8 @@
 	return next
 }
 
-// start has a container run, for as long as its call says. The end of an earlier one of the same call is repeated no
-// more: the process would take it for that of this one.
+// start starts the container of an offer. Its run time depends on the request. The end of an earlier container of the
+// same request is not repeated any more, because the process would take it for the end of this one.
 func (m *machine) start(o *offer, conn *machineConn) *placement {
 	p := &placement{
 		request: o.request, offer: o, machine: m, conn: conn,
@@ -146,7 +146,7 @@
 	return p
 }
 
-// finish ends a container that runs, and releases it.
+// finish ends a running container and reports the end.
 func (m *machine) finish(p *placement, cause int) {
 	if !p.runs() || !slices.Contains(m.containers, p) {
 		return
@@ -155,36 +155,36 @@
 	p.offer.release(p.endedAt)
 	m.containers = slices.DeleteFunc(m.containers, func(other *placement) bool { return other == p })
 	end := endLine(p.request.id, cause)
-	line := m.w.fault.releaseLine(end)
+	line := m.w.fault.containerEndLine(end)
 	m.reportEnd(endNotice{p, line})
-	if born := m.startedAt; m.w.fault.fault == DelayedEnd && line != end {
+	if startedAt := m.startedAt; m.w.fault.fault == DelayedEnd && line != end {
 		m.w.network.After(endDelay, func() {
-			if m.startedAt == born && m.state != healthGone {
+			if m.startedAt == startedAt && m.state != healthGone {
 				m.reportEnd(endNotice{p, end})
 			}
 		})
 	}
 }
 
-// reportEnd writes a release now, and on the next connection.
+// reportEnd writes the end of a container now, and again on each new connection until the process has read it there.
 func (m *machine) reportEnd(r endNotice) {
 	m.unreadEnds = append(m.unreadEnds, r)
 	m.whenReachable(func() { m.writeEnd(r.placement, r.line) })
 }
 
-// endNotice is the line by which a machine says that a container has ended.
+// endNotice is a line by which a machine reports the end of a container.
 type endNotice struct {
 	placement *placement
 	line      string
 }
 
-// removeUnreadEnd notes that a process has read a release on the connection that it opened next.
+// removeUnreadEnd records that the process has read a repeated end on a new connection.
 func (m *machine) removeUnreadEnd(r endNotice) {
 	r.placement.recordEndRead()
 	m.unreadEnds = slices.DeleteFunc(m.unreadEnds, func(other endNotice) bool { return other == r })
 }
 
-// writeEnd writes the end of a container on the connection of its offer, or else on any.
+// writeEnd writes the end of a container on the connection of its offer, or on another one if that is closed.
 func (m *machine) writeEnd(p *placement, line string) {
 	conn := p.conn
 	if conn == nil || !conn.open {
@@ -196,10 +196,10 @@
 	conn.writeMarked(line, p.recordEndRead)
 }
 
-// running returns the container of a call that runs here.
-func (m *machine) running(call string) *placement {
+// running returns the running container of a request, or nil.
+func (m *machine) running(id string) *placement {
 	for _, p := range m.containers {
-		if p.request.id == call {
+		if p.request.id == id {
 			return p
 		}
 	}
--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -15,10 +15,10 @@
 	conn    *simnet.PeerConn
 	lines   lineReader
 	open    bool
-	offers  []*offer // that are out on it
+	offers  []*offer // in flight or finished
 }
 
-// Connected implements simnet.PeerHandler. What the process may not have heard of is written again.
+// Connected implements simnet.PeerHandler. It repeats the ends of containers that the process may not have read.
 func (c *machineConn) Connected(conn *simnet.PeerConn) {
 	c.conn, c.open = conn, true
 	m := c.machine
@@ -33,7 +33,7 @@
 	c.machine.whenReachable(func() { c.lines.feed(chunk, c.handle) })
 }
 
-// Ended implements simnet.PeerHandler: what is out on the connection is given up.
+// Ended implements simnet.PeerHandler. The offers on the connection are finished.
 func (c *machineConn) Ended(conn *simnet.PeerConn, _ error) {
 	conn.Close()
 	endedAt := c.machine.w.now()
@@ -48,7 +48,7 @@
 
 func (c *machineConn) close() { c.closeAt(c.machine.w.now()) }
 
-// closeAt takes in that the connection ended at some time: what is out on it is over since then.
+// closeAt records that the connection ended at a time. The offers on it are finished since then.
 func (c *machineConn) closeAt(moment time.Duration) {
 	c.open = false
 	c.machine.conns = slices.DeleteFunc(c.machine.conns, func(other *machineConn) bool { return other == c })
@@ -60,10 +60,10 @@
 	}
 }
 
-// finish notes that an offer is no longer out.
+// finish records that the offer is no longer in flight.
 func (o *offer) finish() { o.finishAt(o.machine.w.now()) }
 
-// finishAt notes that an offer is not out since a time. What a machine that was cut off hears late has happened before.
+// finishAt records that the offer has not been in flight since a time. A partitioned machine learns of that time late.
 func (o *offer) finishAt(moment time.Duration) {
 	if o.finishedAt == 0 || moment < o.finishedAt {
 		o.finishedAt = moment
@@ -73,7 +73,7 @@
 func (c *machineConn) write(line string) { c.writeMarked(line, nil) }
 
 func (c *machineConn) writeMarked(line string, onRead func()) {
-	c.machine.w.tracef("%s says %s", c.machine.id, line)
+	c.machine.w.tracef("%s sends %s", c.machine.id, line)
 	c.machine.whenReachable(func() {
 		if c.open {
 			c.conn.Write([]byte(line), onRead)
@@ -81,13 +81,13 @@
 	})
 }
 
-// handle takes in a line of the process.
+// handle handles a line from the process.
 func (c *machineConn) handle(line receivedLine) {
 	w := c.machine.w
-	w.tracef("%s hears %s", c.machine.id, line.text)
+	w.tracef("%s receives %s", c.machine.id, line.text)
 	msg, err := line.decode()
 	if err != nil {
-		w.checker.report(ruleProcess, "a line to %s is garbled: %s", c.machine.id, line.text)
+		w.checker.report(ruleProcess, "a line to %s is malformed: %s", c.machine.id, line.text)
 		return
 	}
 	switch msg.Op {
@@ -99,7 +99,7 @@
 	case jsonlines.OpTest:
 		c.machine.recordSend(line)
 		c.write(testedLine(msg.RequestID))
-	default: // means nothing to a machine
+	default: // ignored by machines
 	}
 }
 
@@ -108,12 +108,12 @@
 	r := m.w.checker.requests[msg.RequestID]
 	if r == nil || r.onlyClaimed || r.key != msg.Fields["key"] || r.class.name != msg.Fields["class"] ||
 		string(msg.Description) != requestDescription {
-		m.w.checker.report(ruleProcess, "%s is offered what nobody asked for: %s", m.id, line.text)
+		m.w.checker.report(ruleProcess, "%s got an offer that matches no request: %s", m.id, line.text)
 		return
 	}
 	left, err := strconv.Atoi(msg.Fields["left"])
 	if err != nil {
-		m.w.checker.report(ruleProcess, "%s is offered what it cannot read: %v", m.id, err)
+		m.w.checker.report(ruleProcess, "%s got an offer with an invalid time left: %v", m.id, err)
 		return
 	}
 	o := &offer{
@@ -129,7 +129,7 @@
 	m.nextResponse().play(c, o)
 }
 
-// handleEnd takes in that an offer is called off, or that a container is to end.
+// handleEnd handles the cancellation of an offer, or the order to end a container.
 func (c *machineConn) handleEnd(msg *jsonlines.Message, line receivedLine) {
 	for _, o := range c.offers {
 		if o.request.id == msg.RequestID {
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -11,14 +11,14 @@
 	_ "glenport/internal/testutil/fixedseed"
 )
 
-// The process keeps the rules in random orders of events. The trial plays far more of them.
+// The process keeps the rules in random orders of events. The platform trial plays many more orders.
 func TestRulesHoldInRandomOrders(t *testing.T) {
 	result := Campaign{Events: 3000, Workers: 2}.Play()
 	testutil.Expect(t, result.Failed == 0, "seed %d: %v", result.First.Run.Seed, result.First.Violations)
 	testutil.Equal(t, result.Seeds, 50, "seeds played")
 }
 
-// Each fault is found, by the rule that it breaks.
+// Each injected fault is detected by the check of the rule that it breaks.
 func TestEachFaultIsFound(t *testing.T) {
 	for fault, rules := range map[Fault][]string{
 		LostAnswer:       {ruleAnswer, ruleProcess},
@@ -35,14 +35,14 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			result := Campaign{Events: 12_000, Fault: fault, Workers: 2}.Play()
-			testutil.Require(t, result.Failed > 0, "not found in %d seeds", result.Seeds)
+			testutil.Require(t, result.Failed > 0, "not detected in %d seeds", result.Seeds)
 			rule := result.First.Violations[0].Rule
-			testutil.Expect(t, slices.Contains(rules, rule), "found by %q", rule)
+			testutil.Expect(t, slices.Contains(rules, rule), "detected by %q", rule)
 		})
 	}
 }
 
-// A list that fails is reduced to one that needs each of its events, and fails again in the same way.
+// A failing list of events is reduced to one that needs each of its events, and whose replay has the same violations.
 func TestFailureIsReduced(t *testing.T) {
 	result := Campaign{Events: 12_000, Fault: IgnoredDrain, Workers: 2}.Play()
 	testutil.Require(t, result.Failed > 0, "nothing failed")
@@ -57,7 +57,7 @@
 		run.Events = slices.Delete(slices.Clone(run.Events), i, i+1)
 		violations := Play(run)
 		needed := len(violations) == 0 || violations[0].Rule != rule
-		testutil.Expect(t, needed, "it fails without event %d: %v", i, reduced.Run.Events[i])
+		testutil.Expect(t, needed, "the run fails without event %d: %v", i, reduced.Run.Events[i])
 	}
 	violations := Reduce(Run{Seed: 1, Events: Draw(1, 5)}).Violations
 	testutil.Equal(t, len(violations), 0, "violations of a run that does not fail")
@@ -76,7 +76,7 @@
 	}
 }
 
-// All variants of the ten sorts are drawn, and say what they are.
+// Draw draws all variants of the ten kinds, and the description of an event names its variant.
 func TestEveryEventIsDrawnAndDescribed(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range uint64(50) {
@@ -85,12 +85,12 @@
 			testutil.Expect(t, strings.Contains(event.String(), event.action().text), "%v", event)
 		}
 	}
-	for sort, variants := range actions {
+	for kind, variants := range actions {
 		for _, variant := range variants {
-			testutil.Expect(t, drawn[sort.String()+variant.text], "%v: %q is never drawn", sort, variant.text)
+			testutil.Expect(t, drawn[kind.String()+variant.text], "%v: %q is never drawn", kind, variant.text)
 		}
 	}
-	testutil.Equal(t, len(actions), int(kindCount), "sorts of events")
+	testutil.Equal(t, len(actions), int(kindCount), "kinds of events")
 }
 
 func TestFaultsAreKnownByName(t *testing.T) {
@@ -102,13 +102,13 @@
 	testutil.Expect(t, err != nil && strings.Contains(err.Error(), `no fault "none"`), "%v", err)
 }
 
-// Each part of the forms meets each other one, and seeds that differ by formCount have the same form.
+// All combinations of parameters occur, and seeds that differ by paramCombinations have the same combination.
 func TestFormsAreAllCombinations(t *testing.T) {
 	forms := map[string]bool{}
 	for seed := range uint64(2 * paramCombinations) {
 		forms[fmt.Sprint(paramsOf(seed))] = true
 	}
-	sizes := 2 // few machines, and many
+	sizes := 2 // fewMachines and manyMachines
 	combinations := len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * sizes
-	testutil.Equal(t, len(forms), combinations, "forms")
+	testutil.Equal(t, len(forms), combinations, "combinations of parameters")
 }
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -6,7 +6,7 @@
 	"glenport/internal/platform/jsonlines"
 )
 
-// request is a request of a client, with what became of it.
+// request is the record of a client's request.
 type request struct {
 	id, key, service   string
 	class              workloadClass
@@ -14,85 +14,85 @@
 	client             *client
 	line               string
 	sentAt, due        time.Duration
-	readIteration      int // in which the process read its last byte; 0: not yet
+	readIteration      int // of the process when it read the last byte of the request; 0: not read
 	connAcceptedLate   bool
-	excused            bool // no answer is owed any more
-	onlyClaimed        bool // a client said that it runs, and never asked for it
-	falselyClaimed     bool // a client said that it runs while it was open
-	memory             int  // that it asks for
+	excused            bool // no answer is expected any more
+	onlyClaimed        bool // a client claimed that it runs, but it was never submitted
+	falselyClaimed     bool // a client claimed that it runs while it was open
+	memory             int  // requested memory
 	answer             answer
-	answerIteration    int // in which the answer's first byte was written
+	answerIteration    int // of the process when it wrote the first byte of the answer
 	answerMayBeDelayed bool
 	cancelled          bool
-	cancelIteration    int // in which the process read that
+	cancelIteration    int // of the process when it read the cancellation
 	offers             []*offer
-	placement          *placement // of the accept that the client was given
+	placement          *placement // of the accept that the client received
 	placements         []*placement
 }
 
-// answer is what a client was answered.
+// answer is the kind of answer that a client received.
 type answer uint8
 
 const (
 	unanswered answer = iota
 	accepted
-	rejected // it never ran
+	rejected // the container never ran
 	failed
 )
 
-// offer is an attempt as its machine observed it.
+// offer is the record of an attempt as its machine observed it.
 type offer struct {
 	request         *request
 	machine         *machine
 	conn            *machineConn
-	writtenAt       time.Duration // its first byte
+	writtenAt       time.Duration // first byte
 	iteration       int
-	remainingMillis int // milliseconds that the process waits for the answer, as it says
+	remainingMillis int // time that the process waits for the answer, as stated in the offer
 	mayBeDelayed    bool
-	finishedAt      time.Duration // 0: it is out
-	rejected        bool          // the machine said that it never ran
-	rejectionRead   bool          // the process has read that
+	finishedAt      time.Duration // 0: in flight
+	rejected        bool          // the machine rejected it; the container never ran
+	rejectionRead   bool          // the process has read the rejection
 	incarnation     int           // of the process
-	releasedAt      time.Duration // since when the process need not count it any more; 0: it does
+	releasedAt      time.Duration // from then on the process may not count it any more; 0: it counts
 	placement       *placement    // nil until the machine accepts
-	acceptRead      bool          // the process has read that
+	acceptRead      bool          // the process has read the accept
 }
 
 // neverRan reports whether the process knows that the offer had no effect.
 func (o *offer) neverRan() bool { return o.rejected && o.rejectionRead }
 
-// finishedBefore reports whether the offer was over when the other one was not.
+// finishedBefore reports whether the offer finished no later than another one.
 func (o *offer) finishedBefore(other *offer) bool {
 	return o.finishedAt != 0 && (other.finishedAt == 0 || o.finishedAt <= other.finishedAt)
 }
 
-// placement is a container that a machine has accepted.
+// placement is the record of a container that a machine has accepted.
 type placement struct {
 	request         *request
 	offer           *offer
 	machine         *machine
 	conn            *machineConn
 	description     string
-	endedAt         time.Duration   // 0: it runs
-	acceptDelivered bool            // the client was given its accept
-	cancelled       bool            // its client has ended it: no release is owed
-	endRead         bool            // a process has read that it ended
-	endReads        []time.Duration // when a process has read that
-	endReadBy       int             // the incarnation of the process that has read it last
+	endedAt         time.Duration   // 0: running
+	acceptDelivered bool            // the client received the accept
+	cancelled       bool            // its client has ended it: no end report is expected
+	endRead         bool            // an incarnation of the process has read its end
+	endReads        []time.Duration // when the process read its end
+	endReadBy       int             // last incarnation of the process that has read its end
 	endReported     bool
-	knownBy         int // the incarnation of the process that was told last that it runs
-	claimReadBy     int // the incarnation of the process that was told last by a client that it runs
+	knownBy         int // last incarnation of the process that knew that it runs
+	claimReadBy     int // last incarnation of the process that has read a claim of it
 	claimReadAt     time.Duration
-	endNotOwed      bool // it was cut when no process held it, and nobody reports that
+	endNotOwed      bool // no end report is expected, because the process may not know of the end
 }
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
 
-// endsFalseClaim reports whether a message is the end of what a client has claimed to run while the request was open. The
-// request is over, and did not get there.
+// endsFalseClaim reports whether a message reports the end of a container that a client falsely claimed to run while
+// the request was open. Such a request is closed and has no accept.
 func (r *request) endsFalseClaim(msg *jsonlines.Message) bool {
 	return r.falselyClaimed && r.placement == nil && msg.Op == jsonlines.OpEnd && !r.awaitsAnswer()
 }
 
-// awaitsAnswer reports whether the process owes an answer.
+// awaitsAnswer reports whether the process still has to answer the request.
 func (r *request) awaitsAnswer() bool { return r.answer == unanswered && !r.cancelled && !r.excused }
--- a/internal/testbed/platformcheck/reduce.go
+++ b/internal/testbed/platformcheck/reduce.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// variations is how many variations of the others are tried before an event counts as needed: what it does may be no
-// more than to shift the chance of the rest.
+// variations is the number of variations of the other events that are tried before an event counts as needed. An event
+// may matter only because it shifts the random numbers of the other events.
 const variations = 40
 
-// Reduce returns the run with the shortest list of events that it finds by which the same rule is broken first; its
-// seed may be another one, and so may be the amounts of its events. Without violations the run did not fail at all. It
-// is delta debugging: halves, quarters and so on are left out, down to single events.
+// Reduce returns the run with the shortest list of events that it finds whose first violation is of the same rule. Its
+// seed and the amounts of its events may differ from those of the original run. The result has no violations if the run
+// did not fail. Reduce uses delta debugging: it leaves out halves, quarters and so on, down to single events.
 func Reduce(run Run) Failure {
 	run.Trace = nil
 	found := Failure{run, Play(run)}
@@ -38,8 +38,8 @@
 	return found
 }
 
-// withoutPart returns the failure without the first of its parts that it can do without; false where it needs them
-// all.
+// withoutPart splits the events into parts and returns a failure without the first part that is not needed. It returns
+// false if all parts are needed.
 func (f Failure) withoutPart(parts, tries int) (Failure, bool) {
 	all := f.Run.Events
 	size := (len(all) + parts - 1) / parts
@@ -56,7 +56,7 @@
 	return f, false
 }
 
-// varied returns the run with another seed of the same form, and another amount in one event.
+// varied returns the run with another seed of the same parameters, and with another amount in one event.
 func (r Run) varied(number uint64) Run {
 	r.Seed += uint64(paramCombinations)
 	if len(r.Events) == 0 {
--- a/internal/testbed/platformcheck/releasejudge.go
+++ b/internal/testbed/platformcheck/releasejudge.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	endReportLimit     = 8500 * time.Millisecond // from the end of a container to a client that is told of it
-	readEndReportLimit = time.Second             // from when the process has read of the end
+	endReportLimit     = 8500 * time.Millisecond // from the end of a container to its report to a client
+	readEndReportLimit = time.Second             // from the time at which the process reads the end
 )
 
-// checkEndReports checks at the end of a run that each end was told.
+// checkEndReports checks at the end of a run that the end of each container was reported.
 func (w *World) checkEndReports() {
-	for _, call := range w.requestIDs {
-		for _, p := range w.checker.requests[call].placements {
+	for _, id := range w.requestIDs {
+		for _, p := range w.checker.requests[id].placements {
 			w.checkEndReport(p)
 		}
 	}
 }
 
 func (w *World) checkEndReport(p *placement) {
-	if !p.acceptDelivered || p.runs() || p.endReported || p.cancelled || p.endNotOwed || w.now() < p.endedAt+endReportLimit {
+	if !p.acceptDelivered || p.runs() || p.endReported || p.cancelled || p.endNotOwed ||
+		w.now() < p.endedAt+endReportLimit {
 		return
 	}
-	w.checker.report(ruleEndReport, "the end of container %s on %s, %v ago, was told to no client",
+	w.checker.report(ruleEndReport, "the end of container %s on %s, %v ago, was reported to no client",
 		p.request.id, p.machine.id, w.now()-p.endedAt)
 }
 
-// recordEndRead takes in that a process has read that the container ended.
+// recordEndRead records that the process has read the end of the container.
 func (p *placement) recordEndRead() {
 	w := p.machine.w
 	p.endRead = true
@@ -38,13 +39,13 @@
 	}
 }
 
-// claimMayBeDropped reports whether the process knows the container from a claim alone, and may have left that out for
-// made-up ones: then it hears only of an end that the machine reports.
+// claimMayBeDropped reports whether the process may have dropped the claim of the container in favor of false claims.
+// It then learns of the end only if the machine reports it.
 func (p *placement) claimMayBeDropped() bool {
 	return p.offer.claimMayBeDropped(p.machine.w.incarnations)
 }
 
-// recordClaimRead takes in that the process has read a claim that the container runs.
+// recordClaimRead records that the process has read a claim that the container runs.
 func (p *placement) recordClaimRead() {
 	w := p.machine.w
 	p.knownBy = w.incarnations
@@ -57,8 +58,8 @@
 	}
 }
 
-// expectReport has a client told soon, as the process has read of the end of a container that it holds for running: it has
-// read the accept, or a claim.
+// expectReport schedules the check that the end is reported soon. It is called when the process has read the end. The
+// check applies only if the process knew that the container ran, from its accept or from a claim.
 func (p *placement) expectReport() {
 	w := p.machine.w
 	accepted := p.offer.incarnation == w.incarnations && p.offer.acceptRead
@@ -75,24 +76,26 @@
 	})
 }
 
-// checkReportedSoon checks that a client was told, where one was there all the time and no client left its input unread.
-// Clients that make up claims may be told before others, but not before the one that asked for the container.
+// checkReportedSoon checks that the end was reported to a client, if a client was served all the time and no client
+// left its input unread. The process may report the end first to a client that made a false claim, but not before it
+// reports it to the client that submitted the container.
 func (w *World) checkReportedSoon(p *placement, began time.Duration) {
-	if !p.acceptDelivered || p.endReported || p.cancelled || p.endNotOwed || w.termAt != 0 || w.killed || w.unreadEnd >= began {
+	if !p.acceptDelivered || p.endReported || p.cancelled || p.endNotOwed ||
+		w.termAt != 0 || w.killed || w.unreadUntil >= began {
 		return
 	}
-	asker := p.request.client
-	couldBeTold := func(c *client) bool {
-		mayBeFirst := w.falseClaimReadBy != w.incarnations || c == asker && p.offer.incarnation == w.incarnations
+	submitter := p.request.client
+	couldBeNotified := func(c *client) bool {
+		mayBeFirst := w.falseClaimReadBy != w.incarnations || c == submitter && p.offer.incarnation == w.incarnations
 		return mayBeFirst && c.couldBeNotifiedSince(began)
 	}
-	if slices.ContainsFunc(w.clients, couldBeTold) {
-		w.checker.report(ruleEndReport, "the end of container %s on %s was read %v ago, and told to no client",
+	if slices.ContainsFunc(w.clients, couldBeNotified) {
+		w.checker.report(ruleEndReport, "the end of container %s on %s was read %v ago, and reported to no client",
 			p.request.id, p.machine.id, w.now()-began)
 	}
 }
 
-// couldBeNotifiedSince reports whether the process has served the client before a time and ever since.
+// couldBeNotifiedSince reports whether the process has served the client without interruption since a time.
 func (c *client) couldBeNotifiedSince(began time.Duration) bool {
 	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= began && !c.conn.IsEnded() && !c.conn.Congested()
 }
--- a/internal/testbed/platformcheck/responses.go
+++ b/internal/testbed/platformcheck/responses.go
@@ -44,7 +44,7 @@
 	unknownRequestID = "ffffffffffffffff"
 )
 
-// play responds to an offer, after the time that the machine needs.
+// play responds to an offer after the service time of the machine.
 func (r response) play(c *machineConn, o *offer) {
 	after := serviceTime
 	switch r {
@@ -54,7 +54,7 @@
 		after = 0
 	case respondLate:
 		after = lateResponseDelay
-	default: // answered at the usual speed
+	default: // answered after serviceTime
 	}
 	c.machine.w.network.After(after, func() {
 		if o.finishedAt == 0 && c.open {
@@ -63,20 +63,20 @@
 	})
 }
 
-// answer writes the answer to an offer that is still out.
+// answer writes the answer to an offer that is still in flight.
 func (r response) answer(c *machineConn, o *offer) {
-	call := o.request.id
+	id := o.request.id
 	switch r {
 	case respondFull:
-		c.reject(o, endLineWithNote(call, jsonlines.CauseNoCapacity, "cpu_full"))
+		c.reject(o, endLineWithNote(id, jsonlines.CauseNoCapacity, "cpu_full"))
 	case respondNotSent:
-		c.reject(o, endLine(call, jsonlines.CauseNotSent))
+		c.reject(o, endLine(id, jsonlines.CauseNotSent))
 	case respondError:
-		c.fail(o, endLine(call, jsonlines.CauseError))
+		c.fail(o, endLine(id, jsonlines.CauseError))
 	case respondTemporaryFailure:
-		c.fail(o, endLine(call, jsonlines.CauseTemporaryFailure))
+		c.fail(o, endLine(id, jsonlines.CauseTemporaryFailure))
 	case respondEvicted:
-		c.fail(o, endLineWithNote(call, jsonlines.CauseTemporaryFailure, "oom"))
+		c.fail(o, endLineWithNote(id, jsonlines.CauseTemporaryFailure, "oom"))
 	case respondReset:
 		c.reset()
 	case respondGarbled:
@@ -89,7 +89,7 @@
 	}
 }
 
-// reject says that an offer never ran.
+// reject rejects an offer. The line reports that its container never ran.
 func (c *machineConn) reject(o *offer, line string) {
 	o.finish()
 	o.rejected = true
@@ -97,14 +97,14 @@
 	c.writeMarked(line, func() { o.rejectionRead = true })
 }
 
-// fail says that an offer went wrong; it may have run.
+// fail reports that an offer failed. Its container may have run.
 func (c *machineConn) fail(o *offer, line string) {
 	o.finish()
 	o.release(o.finishedAt)
 	c.write(line)
 }
 
-// accept says that the container runs.
+// accept starts the container of an offer and accepts the offer.
 func (c *machineConn) accept(o *offer) *placement {
 	o.finish()
 	p := c.machine.start(o, c)
@@ -112,7 +112,7 @@
 	return p
 }
 
-// acceptAnd accepts an offer, and does what follows at once.
+// acceptAnd accepts an offer and does what else the response calls for.
 func (c *machineConn) acceptAnd(o *offer, r response) {
 	p := c.accept(o)
 	m := c.machine
@@ -126,6 +126,6 @@
 		c.conn.Close()
 	case respondEvictsLater:
 		m.w.network.After(evictionDelay, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
-	default: // nothing follows
+	default: // only the accept
 	}
 }
--- a/internal/testbed/platformcheck/settings.go
+++ b/internal/testbed/platformcheck/settings.go
@@ -12,15 +12,15 @@
 	machinesPerRackGroup = 2
 	machineType          = "small"
 
-	stopSendingWithin = 250 * time.Millisecond // the grace of rule 3
+	stopSendingWithin = 250 * time.Millisecond // grace period of rule 3
 	keyedWindow       = 8 * time.Second
-	wireSlack         = 50 * time.Millisecond // every limit is longer by it on sockets
+	wireSlack         = 50 * time.Millisecond // added to every limit for the delay of sockets
 	answerSlack       = 500 * time.Millisecond
 	longestDrain      = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
 )
 
-// effect says what a repeat of a request may do.
+// effect says whether a request may be repeated.
 type effect uint8
 
 const (
@@ -29,7 +29,7 @@
 	effectUnsafe
 )
 
-// workloadClass is a class of requests by its name and its effect.
+// workloadClass is a workload class of the settings.
 type workloadClass struct {
 	name   string
 	effect effect
@@ -39,15 +39,15 @@
 
 var zoneNames = [...]string{"hall a", "hall b"}
 
-// settingsJSON has a class of each effect; what the form says differs from run to run.
-func settingsJSON(form worldParams) string {
-	ms := form.deadline.Milliseconds()
-	var scopes, most []string
-	for _, limit := range form.spread {
+// settingsJSON returns the settings for the parameters of a run. They have a workload class of each effect.
+func settingsJSON(params worldParams) string {
+	ms := params.deadline.Milliseconds()
+	var scopes, limits []string
+	for _, limit := range params.spread {
 		scopes = append(scopes, strconv.Quote(string(limit.settingsScope())))
-		most = append(most, strconv.Itoa(limit.maxContainers))
+		limits = append(limits, strconv.Itoa(limit.maxContainers))
 	}
-	cold := form.slowStart
+	slowStart := params.slowStart
 	return fmt.Sprintf(`{"me":%d,"balancers":%d,"az":0,"azs":[%q,%q],"kinds":[%q],"registry_mode":"on_request",
  "classes":[{"name":"matcher","effect":"safe","aim_ms":100.0,"deadline_ms":%d,"credit":1.0},
   {"name":"report-run","effect":"keyed","group":"all","window_ms":%d,"aim_ms":100.0,"deadline_ms":%d,"credit":2.0},
@@ -62,19 +62,20 @@
   "use_notes":false,"view":true,"fresh_offers":%d,"cpu_of_kind":[24],"kind_memory":[60.0],
   "class_kind":[-1,-1,-1],"class_most":[%s],"spread_over":[%s],
   "quota_cores":[100.0,50.0]}}`,
-		cold.index, cold.schedulers, zoneNames[0], zoneNames[1], machineType, ms, keyedWindow.Milliseconds(), ms, ms,
-		cold.connectTimeout.Milliseconds(), cold.period.Milliseconds(), cold.window.Milliseconds(),
-		stopSendingWithin.Milliseconds(), cold.budget, strings.Join(most, ","), strings.Join(scopes, ","))
+		slowStart.index, slowStart.schedulers, zoneNames[0], zoneNames[1], machineType,
+		ms, keyedWindow.Milliseconds(), ms, ms,
+		slowStart.connectTimeout.Milliseconds(), slowStart.period.Milliseconds(), slowStart.window.Milliseconds(),
+		stopSendingWithin.Milliseconds(), slowStart.budget, strings.Join(limits, ","), strings.Join(scopes, ","))
 }
 
-// configJSON is the platform's file of an incarnation.
-func configJSON(seed uint64, bus netip.AddrPort, form worldParams, known []string) string {
+// configJSON returns the configuration of an incarnation of the process.
+func configJSON(seed uint64, discovery netip.AddrPort, params worldParams, known []string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":64,"sockets":%d},
  "bus":%q,"known":{"offset":%d,"batch":[%s]},"settings":%s}`,
-		processAddr, seed, form.descriptors, bus, len(known), strings.Join(known, ","), settingsJSON(form))
+		processAddr, seed, params.descriptors, discovery, len(known), strings.Join(known, ","), settingsJSON(params))
 }
 
-// Addresses of the simulation.
+// Addresses in the simulated network.
 var (
 	processAddr    = netip.MustParseAddrPort("10.0.0.1:5000")
 	discoveryAddrs = [...]netip.AddrPort{
--- a/internal/testbed/platformcheck/spreadjudge.go
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// scope is the extent in which a spread limit counts the containers of a service, by its name in the settings.
+// scope is the scope of a spread limit, by its name in the settings.
 type scope string
 
 const (
@@ -15,7 +15,7 @@
 	scopeZone      scope = "zone"
 )
 
-// spreadLimit is how many containers of a service may be in one scope. The zero value is no limit.
+// spreadLimit limits the containers of a service in one scope. The zero value sets no limit.
 type spreadLimit struct {
 	scope         scope
 	maxContainers int
@@ -23,7 +23,7 @@
 
 func (l spreadLimit) isSet() bool { return l.settingsScope() != scopeNone }
 
-// settingsScope is the name of the scope in the settings.
+// settingsScope returns the name of the scope in the settings.
 func (l spreadLimit) settingsScope() scope {
 	if l.scope == "" {
 		return scopeNone
@@ -31,7 +31,7 @@
 	return l.scope
 }
 
-// sameScope reports whether two machines lie in one scope.
+// sameScope reports whether two machines are in the same scope.
 func (l spreadLimit) sameScope(a, b *machine) bool {
 	switch l.scope {
 	case scopeMachine:
@@ -46,22 +46,23 @@
 }
 
 const (
-	// spreadCheckDelay is when an offer is checked: by then the machines have heard what was sent before it.
+	// spreadCheckDelay is the delay after which an offer is checked. By then the machines have received all earlier
+	// offers.
 	spreadCheckDelay = 20 * time.Millisecond
-	// releaseSlack covers what the process has ended of itself, and a machine hears of later.
+	// releaseSlack covers the delay until a machine receives that the process has ended an offer or a container.
 	releaseSlack = 20 * time.Millisecond
-	// uncertaintySlack is how long after a fault the process may yet read what the fault has caused.
+	// uncertaintySlack is the time after a fault in which the process may still read its consequences.
 	uncertaintySlack = 200 * time.Millisecond
 )
 
-// release notes that the process may not count the offer any more, from a moment on.
+// release records that the process may stop counting the offer at a time.
 func (o *offer) release(moment time.Duration) {
 	if o.releasedAt == 0 || moment < o.releasedAt {
 		o.releasedAt = moment
 	}
 }
 
-// releaseBy notes a line by which the process ends the offer. One that was held up may have been meant earlier.
+// releaseBy records a line by which the process ends the offer. The process may have decided a delayed line earlier.
 func (o *offer) releaseBy(line receivedLine) {
 	if line.mayBeDelayed() {
 		o.release(o.writtenAt)
@@ -70,31 +71,32 @@
 	o.release(line.first.WrittenAt)
 }
 
-// extendUncertainty has what runs on the machine, and what is sent to it, up to a time count as possibly lost to the process.
+// extendUncertainty records that the process may consider offers lost that it sends to the machine up to a time.
 func (m *machine) extendUncertainty(moment time.Duration) {
 	m.uncertainUntil = max(m.uncertainUntil, moment+uncertaintySlack)
 }
 
-// checkSpread counts what the process knows of a service in the scope of an offer's machine, with this offer: what it
-// has sent there and has neither a refusal nor an end of, and what clients have named as running there.
-func (j *checker) checkSpread(o *offer) {
+// checkSpread checks the spread limit for an offer. In the scope of the offer's machine it counts the containers of the
+// service that the process knows of, including this offer: its own offers that were neither rejected nor ended, and the
+// containers that clients have claimed to run.
+func (c *checker) checkSpread(o *offer) {
 	limit := o.request.spread
 	if !limit.isSet() || o.mayBeDelayed {
 		return
 	}
 	count := 0
-	for _, other := range j.offersOf[o.request.service] {
+	for _, other := range c.offersOf[o.request.service] {
 		if limit.sameScope(other.machine, o.machine) && (other == o || other.countsToward(o)) {
 			count++
 		}
 	}
 	if count > limit.maxContainers {
-		j.report(ruleSpread, "request %s is offered to %s as number %d of service %s in one %s, %d are allowed",
+		c.report(ruleSpread, "request %s is offered to %s as container %d of service %s in one %s, %d are allowed",
 			o.request.id, o.machine.id, count, o.request.service, limit.scope, limit.maxContainers)
 	}
 }
 
-// countsToward reports whether the process counts an offer when it sends a later one.
+// countsToward reports whether the process must count the offer when it sends a later one.
 func (o *offer) countsToward(later *offer) bool {
 	knownAt, known := o.knownSince(later.incarnation)
 	switch {
@@ -105,19 +107,19 @@
 	case o.machine.firstReadAt == 0, o.writtenAt <= max(o.machine.firstReadAt, o.machine.uncertainUntil):
 		return false
 	case o.writtenAt == later.writtenAt && later.isReleasedBy(o.writtenAt):
-		return false // that one was sent and ended first
+		return false // the later offer was sent and ended first
 	}
 	return !o.isReleasedBy(later.writtenAt + releaseSlack)
 }
 
-// claimMayBeDropped reports whether an incarnation of the process knows the container from a claim alone, and may have
-// left that out for made-up ones.
+// claimMayBeDropped reports whether an incarnation of the process may have dropped the claim of the container in favor
+// of false claims. This applies to offers that an earlier incarnation has sent.
 func (o *offer) claimMayBeDropped(incarnation int) bool {
 	return o.incarnation != incarnation && o.machine.falseClaimReadBy == incarnation
 }
 
-// isReleasedBy reports whether the process need not count the offer any more at a time. It may take the end of an
-// earlier container of the request on the same machine, which it reads late, for an answer to the offer.
+// isReleasedBy reports whether the process may have stopped counting the offer by a time. It may take the end of an
+// earlier container of the request on the same machine, if it reads that end late, for the answer to this offer.
 func (o *offer) isReleasedBy(moment time.Duration) bool {
 	if o.releasedAt != 0 && o.releasedAt <= moment {
 		return true
@@ -128,8 +130,8 @@
 	})
 }
 
-// knownSince is since when an incarnation of the process counts an offer: it has sent it, or was told by a client that its
-// container runs. What it sends in the iteration in which it reads that may have been sent first.
+// knownSince returns the time since which an incarnation of the process must count the offer: when it sent the offer,
+// or just after it read a claim of the container. Sends of the iteration that reads the claim may precede the read.
 func (o *offer) knownSince(incarnation int) (since time.Duration, known bool) {
 	switch {
 	case o.incarnation == incarnation:
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -16,22 +16,22 @@
 
 const (
 	persistentClients      = 2
-	settleTime             = 10 * time.Second // after the last event, in which what is owed must happen
+	settleTime             = 10 * time.Second // after the last event, for pending answers and reports
 	restartDelay           = 100 * time.Millisecond
-	quietAfterTerm         = 600 * time.Millisecond // clients send nothing more from then on
-	maxTransit             = 10 * time.Millisecond  // of what a client sends
-	maxIterationsPerSecond = 12_000                 // of the process in a second
+	quietAfterTerm         = 600 * time.Millisecond // after TERM, when clients stop sending
+	maxTransit             = 10 * time.Millisecond  // of data that a client sends
+	maxIterationsPerSecond = 12_000                 // of the event loop
 )
 
-// Run is what is played: a list of events on a world made from a seed, with a fault or without.
+// Run describes a run: a seed, a list of events and possibly an injected fault.
 type Run struct {
 	Seed   uint64
 	Events []Event
 	Fault  Fault
-	Trace  io.Writer // if set, what peers hear and say is written here
+	Trace  io.Writer // if set, receives a transcript of the messages of all peers
 }
 
-// World is the process with its peers.
+// World is the state of a run: the process and its peers.
 type World struct {
 	run           Run
 	network       *simnet.Network
@@ -48,18 +48,18 @@
 	params        worldParams
 
 	incarnations     int
-	termAt           time.Duration // 0: the process was not told to end
+	termAt           time.Duration // when the process got TERM; 0: it did not
 	killed           bool
-	finished         bool          // the process ends for good
-	iterations       int           // of the process in this second
-	stallTotal       time.Duration // for which the process was not run in all
-	stallEnd         time.Duration // when it is run again
+	finished         bool          // the process is not restarted any more
+	iterations       int           // of the event loop in the current second
+	stallTotal       time.Duration // total time for which the process was stalled
+	stallEnd         time.Duration // end of the last stall
 	stalls           []stallSpan
-	falseClaimReadBy int           // the last incarnation of the process that has read a made-up claim
-	unreadEnd        time.Duration // until when a client has left its input unread, at most
+	falseClaimReadBy int           // last incarnation of the process that has read a false claim
+	unreadUntil      time.Duration // latest time until which a client may have left its input unread
 }
 
-// Play plays a run and returns what was violated, the earliest first.
+// Play plays a run and returns the violations, the earliest first.
 func Play(run Run) []Violation {
 	w := &World{run: run, network: simnet.New(run.Seed), params: paramsOf(run.Seed)}
 	w.fault.fault = run.Fault
@@ -83,7 +83,7 @@
 
 func (w *World) now() time.Duration { return w.network.Now() }
 
-// schedule has the events happen in their time, and the end after them.
+// schedule sets timers for the events and for the end of the run.
 func (w *World) schedule() {
 	var last time.Duration
 	for _, event := range w.run.Events {
@@ -96,10 +96,10 @@
 	for range persistentClients {
 		w.network.After(time.Millisecond, w.connectPersistent)
 	}
-	w.network.After(last+time.Millisecond, w.restoreAll)
+	w.network.After(last+time.Millisecond, w.endAllFaults)
 	w.network.After(last+settleTime, func() {
 		w.finished = true
-		w.term()
+		w.terminate()
 	})
 	w.checkIterationRate()
 }
@@ -113,8 +113,8 @@
 	w.network.After(time.Second, w.checkIterationRate)
 }
 
-// restoreAll ends all faults of peers.
-func (w *World) restoreAll() {
+// endAllFaults ends the faults of all peers.
+func (w *World) endAllFaults() {
 	for _, m := range w.machines {
 		m.restore()
 		m.responses = nil
@@ -123,7 +123,7 @@
 	w.kernel.Limit = w.params.descriptors
 }
 
-// runProcess plays one incarnation of the process, until it ends.
+// runProcess runs one incarnation of the process until it ends.
 func (w *World) runProcess() {
 	w.incarnations++
 	w.termAt, w.killed, w.iterations = 0, false, 0
@@ -134,15 +134,15 @@
 	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), w.params, known)
 	var err error
 	if w.config, err = platform.DecodeConfig([]byte(text)); err != nil {
-		w.checker.report(ruleProcess, "the configuration is not read: %v", err)
+		w.checker.report(ruleProcess, "the process cannot read its configuration: %v", err)
 		w.finished = true
 		return
 	}
 	err = w.serve()
-	w.processEnded(err)
+	w.checkProcessEnd(err)
 }
 
-// serve runs the process itself. A panic is an error.
+// serve runs the process. It returns a panic as an error.
 func (w *World) serve() (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -159,7 +159,7 @@
 	return w.server.Run()
 }
 
-// onWait ends a process as soon as something is violated, as a run has failed then.
+// onWait stops the process after the first violation, because the run has failed.
 func (w *World) onWait() error {
 	w.iterations++
 	if len(w.checker.Violations) > 0 {
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// processEnded judges the end of an incarnation.
-func (w *World) processEnded(err error) {
+// checkProcessEnd checks how an incarnation of the process ended.
+func (w *World) checkProcessEnd(err error) {
 	w.tracef("the process ended: %v", err)
 	if w.killed {
 		w.excuseRequests()
@@ -180,17 +180,17 @@
 		return
 	case w.killed:
 	case err != nil:
-		w.checker.report(ruleProcess, "it ended by %v", err)
+		w.checker.report(ruleProcess, "the process ended with an error: %v", err)
 	case w.termAt == 0:
-		w.checker.report(ruleProcess, "it ended unasked")
+		w.checker.report(ruleProcess, "the process ended without TERM")
 	}
 	if left := w.kernel.OpenDescriptors(); left > 0 {
-		w.checker.report(ruleProcess, "%d descriptors are open at its end", left)
+		w.checker.report(ruleProcess, "the process left %d descriptors open at its end", left)
 	}
 }
 
-// term tells the process to end, and kills it if it does not in time.
-func (w *World) term() {
+// terminate sends TERM to the process and checks that it ends in time.
+func (w *World) terminate() {
 	if w.server == nil {
 		return
 	}
@@ -201,15 +201,15 @@
 	w.termAt = w.now()
 	incarnation, stalled := w.incarnations, w.stallTotal-max(0, w.stallEnd-w.now())
 	w.network.After(min(w.params.deadline, longestDrain)+killGrace, func() {
-		w.network.After(w.stallTotal-stalled, func() { // nothing is asked of a process that is not run
+		w.network.After(w.stallTotal-stalled, func() { // extend the limit by the time for which the process was stalled
 			if w.incarnations == incarnation && w.kernel.OpenDescriptors() > 0 {
-				w.checker.report(ruleProcess, "it runs %v after TERM", w.now()-w.termAt)
+				w.checker.report(ruleProcess, "the process still runs %v after TERM", w.now()-w.termAt)
 			}
 		})
 	})
 }
 
-// stall has the process not run for a time.
+// stall suspends the process for a time.
 func (w *World) stall(_ Event, span time.Duration) {
 	w.stallTotal += span
 	begin := max(w.stallEnd, w.now())
@@ -218,14 +218,15 @@
 	w.kernel.Stall(span)
 }
 
-// kill ends the process at once.
+// kill kills the process.
 func (w *World) kill() {
 	w.killed = true
 	w.kernel.Kill()
 }
 
-// transitLimit is how long a request may have been on its way when its connection ends. A process that ends by itself has
-// read what has arrived; one that closes a connection need not have.
+// transitLimit returns how long ago a request may have been sent without having been read when its connection ends.
+// A terminating process has read everything that has arrived. A process that closes a connection may have left data
+// unread.
 func (w *World) transitLimit() time.Duration {
 	if w.termAt != 0 {
 		return maxTransit
@@ -233,18 +234,18 @@
 	return wireSlack
 }
 
-// clientsQuiet reports whether clients send nothing more.
+// clientsQuiet reports whether clients have stopped sending.
 func (w *World) clientsQuiet() bool {
 	return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.killed
 }
 
-// newRequestID makes an identifier.
+// newRequestID returns a new identifier.
 func (w *World) newRequestID() string {
 	w.lastRequestID++
 	return fmt.Sprintf("%016x", w.lastRequestID)
 }
 
-// listedMachines are the machines that are not gone.
+// listedMachines returns the machines that are not gone.
 func (w *World) listedMachines() []*machine {
 	var listed []*machine
 	for _, m := range w.machines {
@@ -255,22 +256,23 @@
 	return listed
 }
 
-// knownPlacements are the containers that clients hold for running.
+// knownPlacements returns the containers that clients believe to run.
 func (w *World) knownPlacements() []*placement {
 	var known []*placement
-	for _, call := range w.requestIDs {
-		if r := w.checker.requests[call]; r != nil && r.placement != nil && !r.placement.endReported && !r.placement.cancelled {
+	for _, id := range w.requestIDs {
+		if r := w.checker.requests[id]; r != nil && r.placement != nil &&
+			!r.placement.endReported && !r.placement.cancelled {
 			known = append(known, r.placement)
 		}
 	}
 	return known
 }
 
-// tracef writes a line of the transcript.
+// tracef writes a line to the transcript.
 func (w *World) tracef(format string, args ...any) {
 	if w.run.Trace != nil {
 		text := fmt.Sprintf(format, args...)
-		// A trace that cannot be written shows as it is read.
+		// A failed write needs no handling: the reader of the transcript notices it.
 		_, _ = fmt.Fprintf(w.run.Trace, "%10.3f ms %s\n", float64(w.now())/float64(time.Millisecond), text)
 	}
 }
--- a/internal/testbed/trials/overload/calm.go
+++ b/internal/testbed/trials/overload/calm.go
@@ -30,8 +30,8 @@
 
 func (r baselineRun) share() float64 { return float64(r.inTime) / float64(r.submitted) }
 
-// runBaseline simulates load without a fault, with and without the concurrency limit. The limit must cost almost none of
-// the starts within the latency objective, and should shed almost nothing.
+// runBaseline simulates load without a fault, with and without the concurrency limit. The limit must cost almost none
+// of the starts within the latency objective, and should shed almost nothing.
 func (t *Trial) runBaseline() (string, error) {
 	const tolerated = 0.01 // share of the starts within the latency objective
 	without, with := playBaseline(simulation.NoDamping), playBaseline(simulation.Limited)
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -121,8 +121,8 @@
 	return never
 }
 
-// runSchedulerRestarts restarts all schedulers two seconds after the machines have restarted. One run restores the state
-// of the schedulers' limiters, the other drops it.
+// runSchedulerRestarts restarts all schedulers two seconds after the machines have restarted. One run restores the
+// state of the schedulers' limiters, the other drops it.
 func (t *Trial) runSchedulerRestarts() error {
 	for _, state := range []string{"restored", "dropped"} {
 		s := restartSimulation(1, simulation.Limited)
