--- a/internal/testbed/trials/bgp/ends.go
+++ b/internal/testbed/trials/bgp/ends.go
@@ -26,8 +26,8 @@
 	e.at[container] = at
 }
 
-// of returns the time at which a container ended, and the zero time while it runs.
-func (e *containerEnds) of(container string) time.Time {
+// endOf returns the time at which a container ended, and the zero time while it runs.
+func (e *containerEnds) endOf(container string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.at[container]
@@ -86,7 +86,7 @@
 
 func (t *Trial) waitRoundWithdrawn(first int, ids []string) error {
 	for i, id := range ids {
-		if err := t.waitUntil("the container ends", func() bool { return !t.ends.of(id).IsZero() }); err != nil {
+		if err := t.waitUntil("the container ends", func() bool { return !t.ends.endOf(id).IsZero() }); err != nil {
 			return err
 		}
 		for k, p := range t.peers {
@@ -110,7 +110,7 @@
 				continue
 			}
 			service := int(update.Prefix.Addr().As4()[3])
-			late := update.At.Sub(t.ends.of(ids[service-first]))
+			late := update.At.Sub(t.ends.endOf(ids[service-first]))
 			measured.count++
 			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // a value beyond its range fails the check
 			if late > withdrawalLimit {
--- a/internal/testbed/trials/bgp/machinefailure.go
+++ b/internal/testbed/trials/bgp/machinefailure.go
@@ -71,7 +71,7 @@
 			t.Failf("peer %d: %v", k, err)
 			continue
 		}
-		late := time.Since(t.ends.of(id))
+		late := time.Since(t.ends.endOf(id))
 		worst = max(worst, late)
 		if p == other && late > withdrawalLimit { // the session of this peer was not reset
 			t.Failf("peer %d received the withdrawal %v after the machine failed", k, late)
--- a/internal/testbed/trials/bgp/partition.go
+++ b/internal/testbed/trials/bgp/partition.go
@@ -40,7 +40,7 @@
 	if err := t.waitUntil("the route is announced again", func() bool { return announced(peer, service) }); err != nil {
 		return "", err
 	}
-	if !t.ends.of(id).IsZero() {
+	if !t.ends.endOf(id).IsZero() {
 		t.Failf("the partition ended the container")
 	}
 	back := time.Since(began)
--- a/internal/testbed/trials/bgp/schedulerkill.go
+++ b/internal/testbed/trials/bgp/schedulerkill.go
@@ -29,7 +29,7 @@
 	scheduler := t.cluster.Schedulers[0]
 	t.cluster.KillScheduler(scheduler)
 	if err := t.waitUntil("a container ends while the scheduler is down", func() bool {
-		return !t.ends.of(id).IsZero()
+		return !t.ends.endOf(id).IsZero()
 	}); err != nil {
 		return "", err
 	}
--- a/internal/testbed/trials/overload/calm.go
+++ b/internal/testbed/trials/overload/calm.go
@@ -10,7 +10,7 @@
 // baselineRun counts the containers of a simulated run without a fault.
 type baselineRun struct{ inTime, submitted, shed int }
 
-func playBaseline(d simulation.Damping) (run baselineRun) {
+func simulateBaseline(d simulation.Damping) (run baselineRun) {
 	s := &simulation.Simulation{
 		Seed:       5,
 		Schedulers: 3,
@@ -34,7 +34,7 @@
 // of the starts within the latency objective, and should shed almost nothing.
 func (t *Trial) runBaseline() (string, error) {
 	const tolerated = 0.01 // share of the starts within the latency objective
-	without, with := playBaseline(simulation.NoDamping), playBaseline(simulation.Limited)
+	without, with := simulateBaseline(simulation.NoDamping), simulateBaseline(simulation.Limited)
 	if cost := 1 - with.share()/without.share(); cost >= tolerated {
 		t.Failf("the limit costs %.1f%% of the starts within the latency objective", 100*cost)
 	}
--- a/internal/testbed/trials/overload/goodput.go
+++ b/internal/testbed/trials/overload/goodput.go
@@ -23,7 +23,7 @@
 	return &goodputMeter{classes: c.Config.Policy.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
 }
 
-func (g *goodputMeter) placed(class int, took time.Duration) {
+func (g *goodputMeter) recordPlacement(class int, took time.Duration) {
 	objective := time.Duration(g.classes[class].LatencyObjective) * process.Tick
 	if second := int(time.Since(g.began).Seconds()); took <= objective && second < len(g.perSecond) {
 		g.mu.Lock()
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -115,7 +115,7 @@
 		when = fmt.Sprintf("recovered after %d to %d s", slices.Min(seconds), slices.Max(seconds))
 	}
 	t.Printf("simulated, %d of %d machines restart, %3.0f%% of the clients ignore retry-after, damping %-11s: "+
-		"%s, metastable in %d of %d; %.0f starts lost on average\n",
+		"%s, metastable in %d of %d; %.0f starts within the latency objective lost on average\n",
 		simulatedRestart, simulatedMachines, 100*ignoring, d,
 		when, never, len(recoveries), meanLost(recoveries))
 	return never
--- a/internal/testbed/trials/overload/sockets.go
+++ b/internal/testbed/trials/overload/sockets.go
@@ -34,7 +34,7 @@
 	defer c.Shutdown()
 	began := time.Now()
 	measured := newGoodputMeter(c, began, int(s.Length.Seconds()))
-	c.Clients.OnPlaced = measured.placed
+	c.Clients.OnPlaced = measured.recordPlacement
 	c.Clients.Backoff = clientBackoff(d, rand.New(rand.NewPCG(seed, 8)))
 	c.Clients.Start(s.Rate, s.Seed+seed)
 	time.Sleep(time.Until(began.Add(socketRestartAt * time.Second)))
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -91,7 +91,7 @@
 	report.RecordingLag(t.Out, findings)
 	report.Violations(t.Out, findings)
 	if findings.Passed() {
-		t.Printf("rules: kept over all incarnations\n")
+		t.Printf("rules: kept over all lives\n")
 	} else {
 		t.Failf("%d violations of rules in the recording", len(findings.Violations))
 	}
