--- a/internal/testbed/trials/why/combined.go
+++ b/internal/testbed/trials/why/combined.go
@@ -6,8 +6,8 @@
 	"glenport/internal/testbed/process"
 )
 
-// runCombinedReasons drains a whole zone while the other machines are full of the pending container's own service and of
-// other work. Several reasons then apply at once, each confirmed by the state of the machines themselves.
+// runCombinedReasons drains a whole zone while the other machines are full of the pending container's own service and
+// of other work. Several reasons then apply at once, each confirmed by the state of the machines themselves.
 func (t *Trial) runCombinedReasons() error {
 	since := time.Now()
 	t.drain(inFirstZone)
