--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -103,12 +103,12 @@
 }
 
 // All combinations of parameters occur, and seeds that differ by paramCombinations have the same combination.
-func TestFormsAreAllCombinations(t *testing.T) {
-	forms := map[string]bool{}
+func TestParametersCoverAllCombinations(t *testing.T) {
+	occurring := map[string]bool{}
 	for seed := range uint64(2 * paramCombinations) {
-		forms[fmt.Sprint(paramsOf(seed))] = true
+		occurring[fmt.Sprint(paramsOf(seed))] = true
 	}
 	sizes := 2 // fewMachines and manyMachines
 	combinations := len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * sizes
-	testutil.Equal(t, len(forms), combinations, "combinations of parameters")
+	testutil.Equal(t, len(occurring), combinations, "combinations of parameters")
 }
