--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// reload has the process read its file again.
+// reload makes the process reload its configuration.
 func (w *World) reload() {
 	if w.server == nil {
 		return
@@ -16,121 +16,121 @@
 	w.server.Reload(&config)
 }
 
-// moveBus has the bus go on at its other address, which a new file names.
-func (w *World) moveBus() {
+// moveDiscovery moves the discovery service to its other address and reloads the configuration with that address.
+func (w *World) moveDiscovery() {
 	w.discovery.move()
 	w.reload()
 }
 
-func (w *World) silenceBus(_ Event, span time.Duration) {
+func (w *World) silenceDiscovery(_ Event, span time.Duration) {
 	w.discovery.silent = true
 	w.network.After(span, w.discovery.restore)
 }
 
-func (w *World) takeBusDown(_ Event, span time.Duration) {
+func (w *World) takeDiscoveryDown(_ Event, span time.Duration) {
 	w.discovery.endpoints[w.discovery.active].Refuse = true
-	w.discovery.breakOff()
+	w.discovery.disconnect()
 	w.network.After(span, w.discovery.restore)
 }
 
-// restore ends a fault of the bus, and tells what was not told meanwhile.
+// restore ends a fault of the discovery service and sends the events that were held back.
 func (d *discovery) restore() {
 	d.silent = false
 	d.endpoints[d.active].Refuse = false
 	for _, watch := range d.watches {
-		watch.tell(len(d.events))
+		watch.sendUpTo(len(d.events))
 	}
 }
 
-// breakOffWithinLine writes half an event before the connections end.
-func (d *discovery) breakOffWithinLine() {
+// disconnectWithinLine writes part of an event before it ends the connections.
+func (d *discovery) disconnectWithinLine() {
 	for _, watch := range d.watches {
 		watch.conn.Write([]byte(`{"offset":`), nil)
 	}
-	d.breakOff()
+	d.disconnect()
 }
 
-// repeat writes the last events once more.
-func (d *discovery) repeat() {
+// repeatEvents writes the last events again.
+func (d *discovery) repeatEvents() {
 	for _, watch := range d.watches {
-		for offset := max(1, watch.toldTo-2); offset <= min(watch.toldTo, len(d.events)); offset++ {
-			watch.tellAgain(offset)
+		for offset := max(1, watch.sentUpTo-2); offset <= min(watch.sentUpTo, len(d.events)); offset++ {
+			watch.sendEvent(offset)
 		}
 	}
 }
 
-// leaveGap has the next event of each connection passed over. The first one of a connection always comes: behind it
-// alone a gap can be seen.
-func (d *discovery) leaveGap() {
+// skipNextEvent skips the next event of each connection. The first event of a connection is never skipped, because the
+// process can detect a gap only after it.
+func (d *discovery) skipNextEvent() {
 	for _, watch := range d.watches {
-		if watch.following && watch.toldAny {
-			watch.toldTo++
+		if watch.following && watch.sentAny {
+			watch.sentUpTo++
 			watch.gap = true
 		}
 	}
 }
 
-// drainInGap has the event by which a machine drains be passed over.
+// drainInGap drains a machine and skips the event that reports the drain.
 func (w *World) drainInGap(m *machine) {
 	if m.state == healthGone {
 		return
 	}
-	w.discovery.leaveGap()
-	w.change(m, healthDraining)
+	w.discovery.skipNextEvent()
+	w.setState(m, healthDraining)
 }
 
-// forget has the bus say nothing more on the connections that it has; they stay open.
-func (d *discovery) forget() { d.watches = nil }
+// forgetWatches makes the discovery service send nothing more on its current connections, which stay open.
+func (d *discovery) forgetWatches() { d.watches = nil }
 
-// change has the list tell a new state of a machine.
-func (w *World) change(m *machine, state string) {
+// setState changes the state of a machine and publishes the change.
+func (w *World) setState(m *machine, state string) {
 	if m.state == healthGone {
 		return
 	}
-	m.changeTo(state)
+	m.setState(state)
 	w.discovery.publish(false, m)
 }
 
-// changeTo has the machine be in a state, which the list is to tell yet.
-func (m *machine) changeTo(state string) {
-	m.change++
+// setState changes the state of the machine, which has yet to be published.
+func (m *machine) setState(state string) {
+	m.stateVersion++
 	m.state = state
 	if state == healthReady {
-		m.unavailableTold = 0
+		m.unavailableKnownAt = 0
 	}
 }
 
-// removeMachine ends a machine for good.
+// removeMachine stops a machine for good.
 func (w *World) removeMachine(m *machine) {
-	if m.state == healthGone || len(w.listed()) <= 2 {
+	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
 	}
 	m.stop()
 	m.endpoint.Refuse = true
-	w.change(m, healthGone)
+	w.setState(m, healthGone)
 }
 
-// restartMachine ends a machine's process and starts it again, cold.
+// restartMachine restarts a machine and publishes the restart. The machine then is in slow start.
 func (w *World) restartMachine(m *machine) {
 	if m.state == healthGone {
 		return
 	}
 	m.restart()
-	w.change(m, healthReady)
+	w.setState(m, healthReady)
 }
 
-// restart ends the machine's process and starts it again.
+// restart stops the machine and starts it again.
 func (m *machine) restart() {
 	m.stop()
-	m.starts()
-	// What was decided before, and is sent after, counts as lost with the earlier start.
-	m.doubtUntil(m.w.now() + m.w.form.slowStart.connectTimeout)
+	m.recordStart()
+	// Offers that were decided before the restart and sent after it may be considered lost with the earlier start.
+	m.extendUncertainty(m.w.now() + m.w.params.slowStart.connectTimeout)
 }
 
-// third are the machines of which an event names every third one, but for those that are gone.
-func (w *World) third(e Event) []*machine {
+// everyThird returns every third of the listed machines. The event selects the first.
+func (w *World) everyThird(e Event) []*machine {
 	var third []*machine
-	for i, m := range w.listed() {
+	for i, m := range w.listedMachines() {
 		if i%3 == int(e.Target)%3 {
 			third = append(third, m)
 		}
@@ -138,21 +138,21 @@
 	return third
 }
 
-// restartThird starts many machines anew, which the list says in one event.
+// restartThird restarts a third of the machines and publishes the restarts in one event.
 func (w *World) restartThird(e Event) {
-	third := w.third(e)
+	third := w.everyThird(e)
 	for _, m := range third {
 		m.restart()
-		m.changeTo(healthReady)
+		m.setState(healthReady)
 	}
 	w.discovery.publish(false, third...)
 }
 
-// drainThird has many machines drain, which the list says in one event.
+// drainThird drains a third of the machines and publishes the drains in one event.
 func (w *World) drainThird(e Event) {
-	third := w.third(e)
+	third := w.everyThird(e)
 	for _, m := range third {
-		m.changeTo(healthDraining)
+		m.setState(healthDraining)
 	}
 	w.discovery.publish(false, third...)
 }
@@ -160,80 +160,81 @@
 // makeReady ends a drain.
 func (w *World) makeReady(m *machine) {
 	if m.state == healthDraining {
-		w.change(m, healthReady)
+		w.setState(m, healthReady)
 	}
 }
 
-// leaveOut has the whole list come without a machine, which is gone by that.
-func (w *World) leaveOut(m *machine) {
-	if m.state == healthGone || len(w.listed()) <= 2 {
+// omitFromList stops a machine and publishes the whole machine list without it.
+func (w *World) omitFromList(m *machine) {
+	if m.state == healthGone || len(w.listedMachines()) <= 2 {
 		return
 	}
 	m.stop()
 	m.endpoint.Refuse = true
-	m.change++
+	m.stateVersion++
 	m.state = healthGone
-	w.discovery.publishWithout(m, w.listed()...)
+	w.discovery.publishWithout(m, w.listedMachines()...)
 }
 
-// succeed replaces a machine by another one at its address.
-func (w *World) succeed(m *machine) {
+// replaceMachine stops a machine and starts another one at its address.
+func (w *World) replaceMachine(m *machine) {
 	if m.state == healthGone {
 		return
 	}
 	m.stop()
-	m.change++
+	m.stateVersion++
 	m.state = healthGone
 	successor := w.newMachine(fmt.Sprintf("m%02d", len(w.machines)), m.number)
-	successor.unreliable = true // it may accept what was offered to its predecessor
-	successor.starts()
+	successor.unreliable = true // it may accept offers to its predecessor
+	successor.recordStart()
 	w.machines = append(w.machines, successor)
 	w.discovery.publish(false, m, successor)
 }
 
-// addMachine adds one at an address of its own.
+// addMachine adds a machine at a new address.
 func (w *World) addMachine() {
 	number := len(w.machines)
 	m := w.newMachine(fmt.Sprintf("m%02d", number), number)
-	m.starts()
+	m.recordStart()
 	w.machines = append(w.machines, m)
 	w.discovery.publish(false, m)
 }
 
-// resetOne resets a connection of the process.
-func (m *machine) resetOne() {
-	if len(m.conns) > 0 && !m.cut {
+// resetConnection resets one connection of the process to the machine.
+func (m *machine) resetConnection() {
+	if len(m.conns) > 0 && !m.partitioned {
 		m.conns[0].reset()
 	}
 }
 
-// closeOne closes a connection of the process.
-func (m *machine) closeOne() {
-	if len(m.conns) > 0 && !m.cut {
+// closeConnection closes one connection of the process to the machine.
+func (m *machine) closeConnection() {
+	if len(m.conns) > 0 && !m.partitioned {
 		conn := m.conns[0]
 		conn.close()
 		conn.conn.Close()
 	}
 }
 
-// excusePlacements takes in that the process has ended: what it was to tell of the stop of a machine nobody can tell
-// any more, nor what a process that was killed had read, nor what a client has left unread.
+// excusePlacements marks the placements whose ends nobody can report after the process has ended: those that ended when
+// a machine was stopped, those whose end a killed process had read, and those whose report a client may have left
+// unread.
 func (w *World) excusePlacements() {
 	for _, m := range w.machines {
-		for _, p := range m.cutPlacements {
-			p.unknowable = true
+		for _, p := range m.stoppedPlacements {
+			p.endNotOwed = true
 		}
-		m.cutPlacements = nil
+		m.stoppedPlacements = nil
 	}
 	leftUnread := slices.ContainsFunc(w.clients, func(c *client) bool { return c.conn.Congested() })
 	for _, p := range w.knownPlacements() {
-		if leftUnread && !p.runs() || w.killed && p.releaseRead {
-			p.unknowable = true
+		if leftUnread && !p.runs() || w.killed && p.endRead {
+			p.endNotOwed = true
 		}
 	}
 }
 
-// excuseRequests takes in that the process was killed: no open request is owed an answer.
+// excuseRequests marks the open requests, for which a killed process owes no answer.
 func (w *World) excuseRequests() {
 	for _, c := range w.clients {
 		for _, r := range c.open {
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	maxClients         = 16 // of the usual sort, that are connected at once
+	maxClients         = 16 // well-behaved clients that are connected at the same time
 	requestDescription = `"v=0\r\n"`
 	reconnectDelay     = 30 * time.Millisecond
 	servicesPerClass   = 3
 )
 
-// client is a client with one connection.
+// client is a client of the process. It has one connection.
 type client struct {
-	w           *World
-	conn        *simnet.PeerConn
-	established bool
-	steady      bool          // it connects again whenever its connection ends
-	servedAt    time.Duration // when it first heard of the process
-	liar        bool          // it makes up claims, and confirms nothing
-	misbehaved  bool          // nothing is owed to it any more
-	unreadEnd   time.Duration // until when it leaves its input unread, at most
-	waiting     []func()      // for the connection
-	lines       lineReader
-	open        []*request
+	w             *World
+	conn          *simnet.PeerConn
+	established   bool
+	persistent    bool          // reconnects when its connection ends
+	servedAt      time.Duration // when it first received a line
+	falseClaimer  bool          // makes false claims and acknowledges nothing
+	misbehaved    bool          // the rules do not cover it
+	unreadUntil   time.Duration // latest time until which it leaves its input unread
+	onEstablished []func()      // called once the connection is established
+	lines         lineReader
+	open          []*request
 }
 
-// connect makes a client and connects it.
+// connect connects a new client.
 func (w *World) connect() *client {
 	c := &client{w: w}
 	c.conn = w.network.Dial(processAddr, c)
@@ -40,18 +40,18 @@
 	return c
 }
 
-// connectSteady makes a client that stays as long as the process does.
-func (w *World) connectSteady() {
+// connectPersistent connects a persistent client, which claims all running containers.
+func (w *World) connectPersistent() {
 	c := w.connect()
-	c.steady = true
-	c.whenEstablished(func() { c.write(testLine(w.newCall())) })
+	c.persistent = true
+	c.whenEstablished(func() { c.write(testLine(w.newRequestID())) })
 	c.claimAll()
 }
 
-// claimAll names all that clients hold for running.
+// claimAll claims all containers that clients believe to run.
 func (c *client) claimAll() {
 	for _, p := range c.w.knownPlacements() {
-		c.claim(p.request, p.machine.id, p.claimRead)
+		c.claim(p.request, p.machine.id, p.recordClaimRead)
 	}
 }
 
@@ -60,23 +60,23 @@
 		do()
 		return
 	}
-	c.waiting = append(c.waiting, do)
+	c.onEstablished = append(c.onEstablished, do)
 }
 
 func (c *client) write(line string) { c.writeMarked(line, nil) }
 
 func (c *client) writeMarked(line string, onRead func()) {
-	c.w.note("client says %s", line)
+	c.w.tracef("client sends %s", line)
 	c.conn.Write([]byte(line), onRead)
 }
 
 // Connected implements simnet.PeerHandler.
 func (c *client) Connected(*simnet.PeerConn) {
 	c.established = true
-	for _, do := range c.waiting {
+	for _, do := range c.onEstablished {
 		do()
 	}
-	c.waiting = nil
+	c.onEstablished = nil
 }
 
 // Received implements simnet.PeerHandler.
@@ -85,75 +85,75 @@
 // Ended implements simnet.PeerHandler.
 func (c *client) Ended(conn *simnet.PeerConn, _ error) {
 	conn.Close()
-	c.leave()
+	c.remove()
 	for _, r := range c.open {
 		if !c.misbehaved {
-			c.w.judge.connectionEnded(r, c.w.onItsWay())
+			c.w.checker.recordConnectionEnd(r, c.w.transitLimit())
 		}
 	}
-	if c.steady && !c.w.over {
-		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	if c.persistent && !c.w.finished {
+		c.w.network.After(reconnectDelay, c.w.connectPersistent)
 	}
 }
 
-// leave forgets the client.
-func (c *client) leave() {
+// remove removes the client from the connected ones.
+func (c *client) remove() {
 	c.w.clients = slices.DeleteFunc(c.w.clients, func(other *client) bool { return other == c })
 }
 
-// leaveUnread has the client read nothing for a time.
+// leaveUnread makes the client read nothing for a time.
 func (c *client) leaveUnread(span time.Duration) {
-	c.unreadEnd = max(c.unreadEnd, c.w.now()+span)
-	c.w.unreadEnd = max(c.w.unreadEnd, c.unreadEnd)
+	c.unreadUntil = max(c.unreadUntil, c.w.now()+span)
+	c.w.unreadUntil = max(c.w.unreadUntil, c.unreadUntil)
 	c.conn.PauseReading(span)
 }
 
-// goAway ends the connection by the client; its open requests are taken back with it.
-func (c *client) goAway(end func(*simnet.PeerConn)) {
+// disconnect ends the connection from the client's side. This cancels the open requests.
+func (c *client) disconnect(end func(*simnet.PeerConn)) {
 	end(c.conn)
-	c.leave()
+	c.remove()
 	for _, r := range c.open {
 		r.excused = true
 		if r.placement != nil {
 			continue
 		}
-		r.givenUp = true
+		r.cancelled = true
 	}
-	if c.steady {
-		c.steady = false
-		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	if c.persistent {
+		c.persistent = false
+		c.w.network.After(reconnectDelay, c.w.connectPersistent)
 	}
 }
 
-// handle takes in a line of the process.
+// handle handles a line from the process.
 func (c *client) handle(line receivedLine) {
-	c.w.note("client hears %s", line.text)
+	c.w.tracef("client receives %s", line.text)
 	if c.servedAt == 0 {
 		c.servedAt = c.w.now()
 	}
 	msg, err := line.decode()
 	if err != nil {
-		c.w.judge.violate(ruleAnswer, "a line to a client is garbled: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a line to a client is malformed: %s", line.text)
 		return
 	}
-	if c.liar || msg.Op == jsonlines.OpTested {
+	if c.falseClaimer || msg.Op == jsonlines.OpTested {
 		return
 	}
-	r := c.w.judge.requests[msg.RequestID]
+	r := c.w.checker.requests[msg.RequestID]
 	switch {
 	case r == nil && !c.misbehaved:
-		c.w.judge.violate(ruleAnswer, "a client is told of what nobody asked for: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client got a message about an unknown request: %s", line.text)
 	case r == nil:
-	case r.onlyClaimed, r.isEndOfLie(msg):
-		c.write(endedLine(r.call))
+	case r.onlyClaimed, r.endsFalseClaim(msg):
+		c.write(endedLine(r.id))
 	case msg.Op == jsonlines.OpAccept:
 		c.handleAccept(r, msg, line)
 	case msg.Op == jsonlines.OpEnd && r.placement != nil:
-		c.handleRelease(r)
+		c.handleContainerEnd(r)
 	case msg.Op == jsonlines.OpEnd:
 		c.handleEnd(r, msg, line)
 	default:
-		c.w.judge.violate(ruleAnswer, "a client is sent what is not for it: %s", line.text)
+		c.w.checker.report(ruleAnswer, "a client got a message that no client should get: %s", line.text)
 	}
 }
 
@@ -161,60 +161,62 @@
 	if c.misbehaved && r.client == c {
 		return
 	}
-	c.w.judge.answered(r, accepted, line)
+	c.w.checker.recordAnswer(r, accepted, line)
 	var description string
 	if err := json.Unmarshal(msg.Description, &description); err != nil {
-		c.w.judge.violate(ruleAnswer, "the accept of request %s is no text: %v", r.call, err)
+		c.w.checker.report(ruleAnswer, "the description in the accept of request %s is not a string: %v", r.id, err)
 	}
 	for _, p := range r.placements {
 		if p.description == description {
-			r.placement, p.known, p.heldBy = p, true, c.w.incarnations
-			p.ordered = p.ordered || r.givenUp
-			p.unknowable = p.unknowable || c.conn.ClosedAt() > 0 // read late: others have named what runs by then
+			r.placement, p.acceptDelivered, p.knownBy = p, true, c.w.incarnations
+			p.cancelled = p.cancelled || r.cancelled
+			// If the client reads the accept after its connection was closed, other clients may have sent their claims
+			// without this container.
+			p.endNotOwed = p.endNotOwed || c.conn.ClosedAt() > 0
 			return
 		}
 	}
-	c.w.judge.violate(ruleAnswer, "request %s has an accept that no machine made: %s", r.call, line.text)
+	c.w.checker.report(ruleAnswer, "no machine sent the accept of request %s: %s", r.id, line.text)
 }
 
-// handleRelease takes in the end of a container that ran.
-func (c *client) handleRelease(r *request) {
+// handleContainerEnd handles the report that a placed container has ended.
+func (c *client) handleContainerEnd(r *request) {
 	p := r.placement
-	if p.runs() && !p.machine.unreliable && !p.ordered {
-		c.w.judge.violate(ruleRelease, "container %s is told to have ended, and runs on %s", r.call, p.machine.id)
+	if p.runs() && !p.machine.unreliable && !p.cancelled {
+		c.w.checker.report(ruleEndReport, "container %s is reported to have ended, but runs on %s", r.id, p.machine.id)
 	}
-	p.told = true
-	c.write(endedLine(r.call))
+	p.endReported = true
+	c.write(endedLine(r.id))
 }
 
 func (c *client) handleEnd(r *request, msg *jsonlines.Message, line receivedLine) {
 	if r.client != c || c.misbehaved {
-		return // the end of what another client said to run
+		return // the end of a container that another client claimed
 	}
 	switch msg.CauseOrNone() {
 	case jsonlines.CauseNoCapacity, jsonlines.CauseNotSent:
-		c.w.judge.answered(r, refused, line)
+		c.w.checker.recordAnswer(r, rejected, line)
 	default:
-		c.w.judge.answered(r, failed, line)
+		c.w.checker.recordAnswer(r, failed, line)
 	}
 }
 
-// request sends a request that is to be answered within a time.
-func (c *client) request(choice uint32, left time.Duration) {
+// submit sends a request with a deadline.
+func (c *client) submit(choice uint32, left time.Duration) {
 	w := c.w
 	class := choice % uint32(len(workloadClasses))
 	r := &request{
-		call: w.newCall(), client: c, class: workloadClasses[class], spread: w.form.spread[class], memory: smallMemory,
-		service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
+		id: w.newRequestID(), client: c, class: workloadClasses[class], spread: w.params.spread[class],
+		memory: smallMemory, service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
 	}
-	r.key = "k" + r.call
+	r.key = "k" + r.id
 	r.line = r.encode(left, "")
 	c.open = append(c.open, r)
-	w.calls = append(w.calls, r.call)
-	w.judge.requests[r.call] = r
+	w.requestIDs = append(w.requestIDs, r.id)
+	w.checker.requests[r.id] = r
 	c.whenEstablished(func() {
-		if !c.conn.IsEnded() && !w.quiet() {
-			w.judge.sent(r, left)
+		if !c.conn.IsEnded() && !w.clientsQuiet() {
+			w.checker.recordRequest(r, left)
 			c.writeMarked(r.line, func() { r.readIteration = w.kernel.Iteration() })
 		} else {
 			r.excused = true
@@ -222,39 +224,39 @@
 	})
 }
 
-// encode is the line of a request; more is added to its extras.
+// encode returns the line of the request, with more text appended to its extras.
 func (r *request) encode(left time.Duration, more string) string {
 	idempotency := ""
 	if r.class.effect == effectKeyed {
-		idempotency = fmt.Sprintf(`"idem":"i%s",`, r.call)
+		idempotency = fmt.Sprintf(`"idem":"i%s",`, r.id)
 	}
 	return fmt.Sprintf(`{"op":"offer","call":%q,"with":{"class":%q,"left":"%d","tenant":"offices","key":%q,%s`+
 		`"extras":"cores:1;memory:%d;service:%s%s"},"desc":%s}`+"\n",
-		r.call, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
+		r.id, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
 }
 
-// lifetimeMillis is how long its container runs, from 0.05 to 3 s.
+// lifetimeMillis returns the part of the container's run time, from 0 to 2949 ms, that its ID determines.
 func (r *request) lifetimeMillis() int64 {
 	var sum int64
-	for _, digit := range []byte(r.call) {
+	for _, digit := range []byte(r.id) {
 		sum = (sum*31 + int64(digit)) % 2950
 	}
 	return sum
 }
 
-// claim names a container as running at a machine.
+// claim claims that the container of a request runs on a machine.
 func (c *client) claim(r *request, at string, onRead func()) {
 	c.whenEstablished(func() { c.writeMarked(r.encode(0, ";at:"+at), onRead) })
 }
 
-// giveUp takes the client's oldest open request back.
-func (c *client) giveUp() {
+// cancelOldest cancels the client's oldest open request.
+func (c *client) cancelOldest() {
 	for _, r := range c.open {
-		if !r.owed() || r.sentAt == 0 {
+		if !r.awaitsAnswer() || r.sentAt == 0 {
 			continue
 		}
-		r.givenUp = true
-		c.writeMarked(endLine(r.call, jsonlines.CauseNormal), func() { r.giveUpIteration = c.w.kernel.Iteration() })
+		r.cancelled = true
+		c.writeMarked(endLine(r.id, jsonlines.CauseNormal), func() { r.cancelIteration = c.w.kernel.Iteration() })
 		return
 	}
 }
--- a/internal/testbed/platformcheck/responses.go
+++ b/internal/testbed/platformcheck/responses.go
@@ -13,7 +13,7 @@
 	respondAccept response = iota
 	respondFull
 	respondError
-	respondBroken
+	respondTemporaryFailure
 	respondNotSent
 	respondNothing
 	respondLate
@@ -37,14 +37,14 @@
 }
 
 const (
-	serviceTime = 3 * time.Millisecond
-	lateBy      = 900 * time.Millisecond
-	evictAfter  = 80 * time.Millisecond
+	serviceTime       = 3 * time.Millisecond
+	lateResponseDelay = 900 * time.Millisecond
+	evictionDelay     = 80 * time.Millisecond
 
-	unknownCall = "ffffffffffffffff"
+	unknownRequestID = "ffffffffffffffff"
 )
 
-// play responds to an offer, after the time that the machine needs.
+// play responds to an offer after the service time of the machine.
 func (r response) play(c *machineConn, o *offer) {
 	after := serviceTime
 	switch r {
@@ -53,79 +53,79 @@
 	case respondReset:
 		after = 0
 	case respondLate:
-		after = lateBy
-	default: // answered at the usual speed
+		after = lateResponseDelay
+	default: // answered after serviceTime
 	}
 	c.machine.w.network.After(after, func() {
-		if o.overAt == 0 && c.open {
+		if o.finishedAt == 0 && c.open {
 			r.answer(c, o)
 		}
 	})
 }
 
-// answer writes the answer to an offer that is still out.
+// answer writes the answer to an offer that is still in flight.
 func (r response) answer(c *machineConn, o *offer) {
-	call := o.request.call
+	id := o.request.id
 	switch r {
 	case respondFull:
-		c.refuse(o, notedEndLine(call, jsonlines.CauseNoCapacity, "cpu_full"))
+		c.reject(o, endLineWithNote(id, jsonlines.CauseNoCapacity, "cpu_full"))
 	case respondNotSent:
-		c.refuse(o, endLine(call, jsonlines.CauseNotSent))
+		c.reject(o, endLine(id, jsonlines.CauseNotSent))
 	case respondError:
-		c.fail(o, endLine(call, jsonlines.CauseError))
-	case respondBroken:
-		c.fail(o, endLine(call, jsonlines.CauseTemporaryFailure))
+		c.fail(o, endLine(id, jsonlines.CauseError))
+	case respondTemporaryFailure:
+		c.fail(o, endLine(id, jsonlines.CauseTemporaryFailure))
 	case respondEvicted:
-		c.fail(o, notedEndLine(call, jsonlines.CauseTemporaryFailure, "oom"))
+		c.fail(o, endLineWithNote(id, jsonlines.CauseTemporaryFailure, "oom"))
 	case respondReset:
 		c.reset()
 	case respondGarbled:
 		c.fail(o, `{"op":"accept","call":"`+"\n")
 	case respondOtherFirst:
-		c.write(acceptLine(unknownCall, "another"))
+		c.write(acceptLine(unknownRequestID, "another"))
 		c.accept(o)
 	default:
 		c.acceptAnd(o, r)
 	}
 }
 
-// refuse says that an offer never ran.
-func (c *machineConn) refuse(o *offer, line string) {
+// reject rejects an offer. The line reports that its container never ran.
+func (c *machineConn) reject(o *offer, line string) {
 	o.finish()
-	o.refused = true
-	o.release(o.overAt)
-	c.writeMarked(line, func() { o.refusalRead = true })
+	o.rejected = true
+	o.release(o.finishedAt)
+	c.writeMarked(line, func() { o.rejectionRead = true })
 }
 
-// fail says that an offer went wrong; it may have run.
+// fail reports that an offer failed. Its container may have run.
 func (c *machineConn) fail(o *offer, line string) {
 	o.finish()
-	o.release(o.overAt)
+	o.release(o.finishedAt)
 	c.write(line)
 }
 
-// accept says that the container runs.
+// accept starts the container of an offer and accepts the offer.
 func (c *machineConn) accept(o *offer) *placement {
 	o.finish()
 	p := c.machine.start(o, c)
-	c.writeMarked(acceptLine(o.request.call, p.description), func() { o.acceptRead = true })
+	c.writeMarked(acceptLine(o.request.id, p.description), func() { o.acceptRead = true })
 	return p
 }
 
-// acceptAnd accepts an offer, and does what follows at once.
+// acceptAnd accepts an offer and does what else the response calls for.
 func (c *machineConn) acceptAnd(o *offer, r response) {
 	p := c.accept(o)
 	m := c.machine
 	switch r {
 	case respondTwice:
-		c.write(acceptLine(o.request.call, p.description))
+		c.write(acceptLine(o.request.id, p.description))
 	case respondAcceptAndEnd:
 		m.finish(p, jsonlines.CauseNormal)
 	case respondAcceptAndClose:
 		c.close()
 		c.conn.Close()
 	case respondEvictsLater:
-		m.w.network.After(evictAfter, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
-	default: // nothing follows
+		m.w.network.After(evictionDelay, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
+	default: // only the accept
 	}
 }
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -15,134 +15,134 @@
 )
 
 const (
-	steadyClients  = 2
-	settleTime     = 10 * time.Second // after the last event, in which what is owed must happen
-	restartDelay   = 100 * time.Millisecond
-	quietAfterTerm = 600 * time.Millisecond // clients send nothing more from then on
-	longestFlight  = 10 * time.Millisecond  // of what a client sends
-	mostWaits      = 12_000                 // of the process in a second
+	persistentClients      = 2
+	settleTime             = 10 * time.Second // after the last event, for pending answers and reports
+	restartDelay           = 100 * time.Millisecond
+	quietAfterTerm         = 600 * time.Millisecond // after TERM, when clients stop sending
+	maxTransit             = 10 * time.Millisecond  // of data that a client sends
+	maxIterationsPerSecond = 12_000                 // of the event loop
 )
 
-// Run is what is played: a list of events on a world made from a seed, with a fault or without.
+// Run describes a run: a seed, a list of events and possibly an injected fault.
 type Run struct {
 	Seed   uint64
 	Events []Event
 	Fault  Fault
-	Trace  io.Writer // if set, what peers hear and say is written here
+	Trace  io.Writer // if set, receives a transcript of the messages of all peers
 }
 
-// World is the process with its peers.
+// World is the state of a run: the process and its peers.
 type World struct {
-	run       Run
-	network   *simnet.Network
-	kernel    *simnet.Kernel
-	server    *platform.Server
-	config    *platform.Config
-	fault     installedFault
-	judge     *judge
-	discovery *discovery
-	machines  []*machine
-	clients   []*client
-	calls     []string // of all requests, in order
-	lastCall  uint64
-	form      worldForm
+	run           Run
+	network       *simnet.Network
+	kernel        *simnet.Kernel
+	server        *platform.Server
+	config        *platform.Config
+	fault         installedFault
+	checker       *checker
+	discovery     *discovery
+	machines      []*machine
+	clients       []*client
+	requestIDs    []string // of all requests, in order
+	lastRequestID uint64
+	params        worldParams
 
-	incarnations int
-	termAt       time.Duration // 0: the process was not told to end
-	killed       bool
-	over         bool          // the process ends for good
-	waits        int           // of the process in this second
-	stalled      time.Duration // for which the process was not run in all
-	stallEnd     time.Duration // when it is run again
-	stalls       []stallSpan
-	liedIn       int           // the last incarnation of the process that has read a made-up claim
-	unreadEnd    time.Duration // until when a client has left its input unread, at most
+	incarnations     int
+	termAt           time.Duration // when the process got TERM; 0: it did not
+	killed           bool
+	finished         bool          // the process is not restarted any more
+	iterations       int           // of the event loop in the current second
+	stallTotal       time.Duration // total time for which the process was stalled
+	stallEnd         time.Duration // end of the last stall
+	stalls           []stallSpan
+	falseClaimReadBy int           // last incarnation of the process that has read a false claim
+	unreadUntil      time.Duration // latest time until which a client may have left its input unread
 }
 
-// Play plays a run and returns what was violated, the earliest first.
+// Play plays a run and returns the violations, the earliest first.
 func Play(run Run) []Violation {
-	w := &World{run: run, network: simnet.New(run.Seed), form: formOf(run.Seed)}
+	w := &World{run: run, network: simnet.New(run.Seed), params: paramsOf(run.Seed)}
 	w.fault.fault = run.Fault
-	w.judge = &judge{
+	w.checker = &checker{
 		now: w.now, after: w.network.After,
 		requests: map[string]*request{},
 		offersOf: map[string][]*offer{},
 	}
 	w.discovery = w.newDiscovery()
-	for i := range w.form.machines {
+	for i := range w.params.machines {
 		w.machines = append(w.machines, w.newMachine(fmt.Sprintf("m%02d", i), i))
 	}
 	w.schedule()
-	for !w.over && len(w.judge.Violations) == 0 {
+	for !w.finished && len(w.checker.Violations) == 0 {
 		w.runProcess()
 		w.network.RunFor(restartDelay)
 	}
-	w.checkReleases()
-	return w.judge.Violations
+	w.checkEndReports()
+	return w.checker.Violations
 }
 
 func (w *World) now() time.Duration { return w.network.Now() }
 
-// schedule has the events happen in their time, and the end after them.
+// schedule sets timers for the events and for the end of the run.
 func (w *World) schedule() {
 	var last time.Duration
 	for _, event := range w.run.Events {
 		last = max(last, event.At)
 		w.network.After(event.At, func() {
-			w.note("event: %v", event)
+			w.tracef("event: %v", event)
 			event.play(w)
 		})
 	}
-	for range steadyClients {
-		w.network.After(time.Millisecond, w.connectSteady)
+	for range persistentClients {
+		w.network.After(time.Millisecond, w.connectPersistent)
 	}
-	w.network.After(last+time.Millisecond, w.restoreAll)
+	w.network.After(last+time.Millisecond, w.endAllFaults)
 	w.network.After(last+settleTime, func() {
-		w.over = true
-		w.term()
+		w.finished = true
+		w.terminate()
 	})
-	w.countWaits()
+	w.checkIterationRate()
 }
 
-// countWaits checks that the process does not spin.
-func (w *World) countWaits() {
-	if w.waits > mostWaits {
-		w.judge.violate(ruleProcess, "%d iterations in a second", w.waits)
+// checkIterationRate checks that the process does not spin.
+func (w *World) checkIterationRate() {
+	if w.iterations > maxIterationsPerSecond {
+		w.checker.report(ruleProcess, "%d iterations in a second", w.iterations)
 	}
-	w.waits = 0
-	w.network.After(time.Second, w.countWaits)
+	w.iterations = 0
+	w.network.After(time.Second, w.checkIterationRate)
 }
 
-// restoreAll ends all faults of peers.
-func (w *World) restoreAll() {
+// endAllFaults ends the faults of all peers.
+func (w *World) endAllFaults() {
 	for _, m := range w.machines {
 		m.restore()
 		m.responses = nil
 	}
 	w.discovery.restore()
-	w.kernel.Limit = w.form.descriptors
+	w.kernel.Limit = w.params.descriptors
 }
 
-// runProcess plays one incarnation of the process, until it ends.
+// runProcess runs one incarnation of the process until it ends.
 func (w *World) runProcess() {
 	w.incarnations++
-	w.termAt, w.killed, w.waits = 0, false, 0
+	w.termAt, w.killed, w.iterations = 0, false, 0
 	w.kernel = w.network.NewKernel()
-	w.kernel.Limit = w.form.descriptors
+	w.kernel.Limit = w.params.descriptors
 	w.kernel.OnWait = w.onWait
 	known := w.discovery.restart()
-	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), w.form, known)
+	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), w.params, known)
 	var err error
 	if w.config, err = platform.DecodeConfig([]byte(text)); err != nil {
-		w.judge.violate(ruleProcess, "the configuration is not read: %v", err)
-		w.over = true
+		w.checker.report(ruleProcess, "the process cannot read its configuration: %v", err)
+		w.finished = true
 		return
 	}
 	err = w.serve()
-	w.processEnded(err)
+	w.checkProcessEnd(err)
 }
 
-// serve runs the process itself. A panic is an error.
+// serve runs the process. It returns a panic as an error.
 func (w *World) serve() (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -152,25 +152,25 @@
 	var kernel eventloop.Kernel = w.kernel
 	var decisions platform.Scheduler = scheduler.New(w.fault.settings(w.config.Scheduler))
 	kernel, decisions = w.fault.wrap(kernel, decisions)
-	w.server, err = platform.NewSimulated(kernel, w.config, decisions, slog.New(&logJudge{w}))
+	w.server, err = platform.NewSimulated(kernel, w.config, decisions, slog.New(&logChecker{w}))
 	if err != nil {
 		return err
 	}
 	return w.server.Run()
 }
 
-// onWait ends a process as soon as something is violated, as a run has failed then.
+// onWait stops the process after the first violation, because the run has failed.
 func (w *World) onWait() error {
-	w.waits++
-	if len(w.judge.Violations) > 0 {
+	w.iterations++
+	if len(w.checker.Violations) > 0 {
 		return simnet.ErrStopped
 	}
 	return nil
 }
 
-// processEnded judges the end of an incarnation.
-func (w *World) processEnded(err error) {
-	w.note("the process ended: %v", err)
+// checkProcessEnd checks how an incarnation of the process ended.
+func (w *World) checkProcessEnd(err error) {
+	w.tracef("the process ended: %v", err)
 	if w.killed {
 		w.excuseRequests()
 	}
@@ -180,17 +180,17 @@
 		return
 	case w.killed:
 	case err != nil:
-		w.judge.violate(ruleProcess, "it ended by %v", err)
+		w.checker.report(ruleProcess, "the process ended with an error: %v", err)
 	case w.termAt == 0:
-		w.judge.violate(ruleProcess, "it ended unasked")
+		w.checker.report(ruleProcess, "the process ended without TERM")
 	}
 	if left := w.kernel.OpenDescriptors(); left > 0 {
-		w.judge.violate(ruleProcess, "%d descriptors are open at its end", left)
+		w.checker.report(ruleProcess, "the process left %d descriptors open at its end", left)
 	}
 }
 
-// term tells the process to end, and kills it if it does not in time.
-func (w *World) term() {
+// terminate sends TERM to the process and checks that it ends in time.
+func (w *World) terminate() {
 	if w.server == nil {
 		return
 	}
@@ -199,51 +199,54 @@
 		return
 	}
 	w.termAt = w.now()
-	incarnation, stalled := w.incarnations, w.stalled-max(0, w.stallEnd-w.now())
-	w.network.After(min(w.form.deadline, longestDrain)+killGrace, func() {
-		w.network.After(w.stalled-stalled, func() { // nothing is asked of a process that is not run
+	incarnation, stalled := w.incarnations, w.stallTotal-max(0, w.stallEnd-w.now())
+	w.network.After(min(w.params.deadline, longestDrain)+killGrace, func() {
+		w.network.After(w.stallTotal-stalled, func() { // extend the limit by the time for which the process was stalled
 			if w.incarnations == incarnation && w.kernel.OpenDescriptors() > 0 {
-				w.judge.violate(ruleProcess, "it runs %v after TERM", w.now()-w.termAt)
+				w.checker.report(ruleProcess, "the process still runs %v after TERM", w.now()-w.termAt)
 			}
 		})
 	})
 }
 
-// stall has the process not run for a time.
+// stall suspends the process for a time.
 func (w *World) stall(_ Event, span time.Duration) {
-	w.stalled += span
+	w.stallTotal += span
 	begin := max(w.stallEnd, w.now())
 	w.stallEnd = begin + span
 	w.stalls = append(w.stalls, stallSpan{begin, w.stallEnd})
 	w.kernel.Stall(span)
 }
 
-// kill ends the process at once.
+// kill kills the process.
 func (w *World) kill() {
 	w.killed = true
 	w.kernel.Kill()
 }
 
-// onItsWay is how long a request may have been on its way when its connection ends. A process that ends by itself has
-// read what has arrived; one that closes a connection need not have.
-func (w *World) onItsWay() time.Duration {
+// transitLimit returns how long ago a request may have been sent without having been read when its connection ends.
+// A terminating process has read everything that has arrived. A process that closes a connection may have left data
+// unread.
+func (w *World) transitLimit() time.Duration {
 	if w.termAt != 0 {
-		return longestFlight
+		return maxTransit
 	}
 	return wireSlack
 }
 
-// quiet reports whether clients send nothing more.
-func (w *World) quiet() bool { return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.killed }
+// clientsQuiet reports whether clients have stopped sending.
+func (w *World) clientsQuiet() bool {
+	return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.killed
+}
 
-// newCall makes an identifier.
-func (w *World) newCall() string {
-	w.lastCall++
-	return fmt.Sprintf("%016x", w.lastCall)
+// newRequestID returns a new identifier.
+func (w *World) newRequestID() string {
+	w.lastRequestID++
+	return fmt.Sprintf("%016x", w.lastRequestID)
 }
 
-// listed are the machines that are not gone.
-func (w *World) listed() []*machine {
+// listedMachines returns the machines that are not gone.
+func (w *World) listedMachines() []*machine {
 	var listed []*machine
 	for _, m := range w.machines {
 		if m.state != healthGone {
@@ -253,22 +256,23 @@
 	return listed
 }
 
-// knownPlacements are the containers that clients hold for running.
+// knownPlacements returns the containers that clients believe to run.
 func (w *World) knownPlacements() []*placement {
 	var known []*placement
-	for _, call := range w.calls {
-		if r := w.judge.requests[call]; r != nil && r.placement != nil && !r.placement.told && !r.placement.ordered {
+	for _, id := range w.requestIDs {
+		if r := w.checker.requests[id]; r != nil && r.placement != nil &&
+			!r.placement.endReported && !r.placement.cancelled {
 			known = append(known, r.placement)
 		}
 	}
 	return known
 }
 
-// note writes a line of the transcript.
-func (w *World) note(format string, args ...any) {
+// tracef writes a line to the transcript.
+func (w *World) tracef(format string, args ...any) {
 	if w.run.Trace != nil {
 		text := fmt.Sprintf(format, args...)
-		// A trace that cannot be written shows as it is read.
+		// A failed write needs no handling: the reader of the transcript notices it.
 		_, _ = fmt.Fprintf(w.run.Trace, "%10.3f ms %s\n", float64(w.now())/float64(time.Millisecond), text)
 	}
 }
