--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -10,14 +10,14 @@
 	"glenport/scheduler"
 )
 
-// checker goes through a recording and keeps the state that its frames add up to. The rules that need more than that
-// keep it themselves.
+// checker reads a recording entry by entry and reconstructs the state of the schedulers from its frames. Rules that
+// need further state keep it themselves.
 type checker struct {
 	report *reporter
 	header faultproxy.Header
-	now    moment
+	now    entryTime
 
-	schedulers  map[string]*schedulerState // by name, the incarnation that is up
+	schedulers  map[string]*schedulerState // the running incarnation, by name
 	locations   machineLocations
 	connections map[uint32]*connection // by their number in the recording
 
@@ -27,7 +27,7 @@
 
 func newChecker() *checker {
 	c := &checker{
-		report:      &reporter{violations: map[Rule]int{}, widened: map[int]bool{}},
+		report:      &reporter{violationCounts: map[Rule]int{}, widenedEntries: map[int]bool{}},
 		schedulers:  map[string]*schedulerState{},
 		locations:   machineLocations{},
 		connections: map[uint32]*connection{},
@@ -37,7 +37,8 @@
 	return c
 }
 
-// workloadClass is false for a class that the recording's terms do not have.
+// workloadClass returns a workload class of the recorded configuration, and false where the configuration has no such
+// class.
 func workloadClass(header *faultproxy.Header, index int) (scheduler.WorkloadClass, bool) {
 	if classes := header.Config.WorkloadClasses; index < len(classes) {
 		return classes[index], true
@@ -45,25 +46,25 @@
 	return scheduler.WorkloadClass{}, false
 }
 
-// process takes the next entry of the recording.
-func (c *checker) process(e *faultproxy.Entry) error {
-	c.now = newMoment(c.now.entry+1, e)
+// handleEntry updates the state by the next entry of the recording, and checks the rules on it.
+func (c *checker) handleEntry(e *faultproxy.Entry) error {
+	c.now = newEntryTime(c.now.entry+1, e)
 	c.report.LargestLag = max(c.report.LargestLag, milliseconds(c.now.lag))
 	switch e.Kind {
 	case faultproxy.Opened:
 		c.connections[e.ConnID] = &connection{peer: e.Peer, name: e.PeerName, attempts: map[uint64]*attempt{}}
 	case faultproxy.Closed:
-		c.connectionClosed(e)
+		c.handleClose(e)
 	case faultproxy.Killed:
-		c.schedulerKilled(e.Scheduler)
+		c.handleKill(e.Scheduler)
 	case faultproxy.Started, faultproxy.Lost:
 	default:
-		return c.processFrame(e)
+		return c.handleFrame(e)
 	}
 	return nil
 }
 
-func (c *checker) processFrame(e *faultproxy.Entry) error {
+func (c *checker) handleFrame(e *faultproxy.Entry) error {
 	c.report.Frames++
 	frame, err := e.Decoded()
 	if err != nil {
@@ -71,39 +72,39 @@
 	}
 	conn := c.connections[e.ConnID]
 	if conn == nil {
-		return fmt.Errorf("at %d: a frame on connection %d, which was never opened", e.At, e.ConnID)
+		return fmt.Errorf("at %d: frame on connection %d, which was never opened", e.At, e.ConnID)
 	}
 	s := c.scheduler(e.Scheduler)
 	switch f := frame.(type) {
 	case *protocol.Submit:
-		c.submitted(s, e.ConnID, f)
+		c.handleSubmit(s, e.ConnID, f)
 	case *protocol.CancelContainer:
-		s.cancelled(f)
+		s.handleCancel(f)
 	case *protocol.Termination:
-		s.terminated(f)
+		s.handleTermination(f)
 	case *protocol.Lookup:
 		s.lookups[f.ContainerID] = true
 	case *protocol.PlacementReply:
-		c.replied(s, f)
+		c.handleReply(s, f)
 	case *protocol.Offer:
-		c.offered(s, conn, f)
+		c.handleOffer(s, conn, f)
 	case *protocol.Probe:
 		c.slowStart.checkSend(s, conn.name, c.now)
 	case *protocol.Accept:
-		c.accepted(s, conn, f)
+		c.handleAccept(s, conn, f)
 	case *protocol.Result:
-		c.ended(s, conn, f)
+		c.handleResult(s, conn, f)
 	case *protocol.MachineListUpdate:
-		c.listUpdated(s, f)
+		c.handleListUpdate(s, f)
 	case *protocol.Inventory:
-		c.inventory(s, conn, f)
+		c.handleInventory(s, conn, f)
 	}
 	return nil
 }
 
-// connectionClosed ends the attempts on a connection. What ran behind it may still run: it counts again when its
-// machine says so in the inventory on its next connection.
-func (c *checker) connectionClosed(e *faultproxy.Entry) {
+// handleClose ends the attempts on a connection. Their containers may still run: they are counted again when the
+// machine lists them in the inventory on its next connection.
+func (c *checker) handleClose(e *faultproxy.Entry) {
 	conn := c.connections[e.ConnID]
 	if conn == nil {
 		return
@@ -111,25 +112,25 @@
 	delete(c.connections, e.ConnID)
 	s := c.scheduler(e.Scheduler)
 	for _, a := range conn.attempts {
-		a.end(c.now)
+		a.markEnded(c.now)
 		delete(s.inFlight, a)
 	}
 	if conn.peer == protocol.RoleClient {
-		c.abandon(s, func(r *request) bool { return r.connection == e.ConnID })
+		c.abandon(s, func(r *request) bool { return r.connectionID == e.ConnID })
 	}
 }
 
-func (c *checker) schedulerKilled(name string) {
+func (c *checker) handleKill(name string) {
 	if s := c.schedulers[name]; s != nil {
 		c.abandon(s, func(*request) bool { return true })
 		delete(c.schedulers, name)
 	}
 }
 
-// finish checks what was owed at the end of the recording.
+// finish makes the checks that need the whole recording: overlapping attempts, and requests without a reply.
 func (c *checker) finish() {
 	c.duplicateRun.checkOverlaps()
-	c.now = moment{at: c.now.at} // the last entry's lag is not that of what is owed still
+	c.now = entryTime{at: c.now.at} // the lag of the last entry does not excuse a missing reply
 	for _, name := range slices.Sorted(maps.Keys(c.schedulers)) {
 		c.abandon(c.schedulers[name], func(*request) bool { return true })
 	}
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-// Each history either keeps the rules or breaks one, and the audit reports which.
+// Each history either keeps all rules or breaks one, which the audit must report.
 var histories = []struct {
 	name   string
 	play   func(h *history)
@@ -21,7 +21,7 @@
 	}, 0},
 	{"no reply", func(h *history) {
 		h.submit(1, "x", 0)
-		h.frame(3000, faultproxy.ToScheduler, clientConn, &protocol.Heartbeat{})
+		h.putFrame(3000, faultproxy.ToScheduler, clientConn, &protocol.Heartbeat{})
 	}, RuleFinalReply},
 	{"no reply, its scheduler killed in time", func(h *history) {
 		h.submit(1, "x", 0)
@@ -67,7 +67,7 @@
 	}, RuleFinalReply},
 	{"a cancel crosses the end, and is answered", func(h *history) {
 		h.place(5, "x")
-		h.frame(7, faultproxy.FromScheduler, clientConn, &protocol.Termination{ContainerID: "x"})
+		h.putFrame(7, faultproxy.FromScheduler, clientConn, &protocol.Termination{ContainerID: "x"})
 		h.cancelX(8, "k-x")
 		h.answerCancelOfX(9)
 	}, 0},
@@ -135,11 +135,11 @@
 	}, 0},
 	{"idempotent with a key stays in its zone", func(h *history) { h.retryWithKey(machineB) }, 0},
 	{"idempotent with a key leaves its zone", func(h *history) { h.retryWithKey(machineC) }, RuleDuplicateRun},
-	{"idempotent with a key stays in its zone, machine list not heard since a restart", func(h *history) {
+	{"idempotent with a key stays in its zone, no machine list received since a restart", func(h *history) {
 		h.restart(1)
 		h.retryWithKey(machineB)
 	}, 0},
-	{"idempotent with a key leaves its zone, machine list not heard since a restart", func(h *history) {
+	{"idempotent with a key leaves its zone, no machine list received since a restart", func(h *history) {
 		h.restart(1)
 		h.retryWithKey(machineC)
 	}, RuleDuplicateRun},
@@ -156,7 +156,7 @@
 		h.submit(1, "x", 2)
 		h.accept(3, machineA, h.offer(2, "x", 2, machineA))
 		h.reply(4, "x", protocol.VerdictPlaced)
-		h.frame(9, faultproxy.ToScheduler, machineB, &protocol.Inventory{
+		h.putFrame(9, faultproxy.ToScheduler, machineB, &protocol.Inventory{
 			Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}},
 		})
 	}, RuleDuplicateRun},
@@ -180,11 +180,11 @@
 
 	{"spread kept", func(h *history) { h.placeThree(machineC) }, 0},
 	{"spread broken", func(h *history) { h.placeThree(machineA) }, RuleSpread},
-	{"spread kept, machine list not heard since a restart", func(h *history) {
+	{"spread kept, no machine list received since a restart", func(h *history) {
 		h.restart(0)
 		h.placeThree(machineC)
 	}, 0},
-	{"spread broken, machine list not heard since a restart", func(h *history) {
+	{"spread broken, no machine list received since a restart", func(h *history) {
 		h.restart(0)
 		h.placeThree(machineA)
 	}, RuleSpread},
@@ -193,14 +193,14 @@
 func TestBrokenRuleIsReported(t *testing.T) {
 	for _, tc := range histories {
 		t.Run(tc.name, func(t *testing.T) {
-			h := begin(t)
+			h := newHistory(t)
 			tc.play(h)
 			h.checker.finish()
 			for _, v := range h.checker.report.Violations {
 				testutil.Expect(t, v.Rule == tc.broken, "reported %v", v)
 			}
-			testutil.Expect(t, tc.broken <= 0 || h.checker.report.violations[tc.broken] != 0,
-				"rule %d is broken, and it is not reported", tc.broken)
+			testutil.Expect(t, tc.broken <= 0 || h.checker.report.violationCounts[tc.broken] != 0,
+				"rule %d is broken but not reported", tc.broken)
 		})
 	}
 }
--- a/internal/testbed/audit/history_test.go
+++ b/internal/testbed/audit/history_test.go
@@ -13,7 +13,7 @@
 
 const ms = 10 // times are in tenths of a millisecond
 
-// The connections of a history. That of machine d is not open at first.
+// The connections of a history. The connection of machine d is not open at first.
 const (
 	clientConn uint32 = 1
 	listConn   uint32 = 2
@@ -23,16 +23,17 @@
 	machineD   uint32 = 20
 )
 
-// history builds a recording by hand; the machines a, b and c, of zones 0, 0 and 1, are listed at its start.
+// history builds a recording entry by entry and passes it to a checker. The machines a, b and c, in zones 0, 0 and 1,
+// are listed at its start.
 type history struct {
 	*testing.T
 	checker  *checker
 	attempts uint64
-	lag      int64 // of what is put next, in milliseconds
-	lateLag  int64 // of what is put by late
+	lag      int64 // lag of the entries that follow, in milliseconds
+	lateLag  int64 // lag of the entries put by putLate, in milliseconds
 }
 
-func begin(t *testing.T) *history {
+func newHistory(t *testing.T) *history {
 	t.Helper()
 	h := &history{T: t, checker: newChecker()}
 	h.checker.header = faultproxy.Header{
@@ -57,11 +58,11 @@
 
 func (h *history) put(at int64, e faultproxy.Entry) {
 	e.At, e.Scheduler, e.Lag = at*ms, "p", h.lag*ms
-	testutil.NoError(h, h.checker.process(&e))
+	testutil.NoError(h, h.checker.handleEntry(&e))
 }
 
-func (h *history) open(id uint32, far protocol.Role, name string) {
-	h.put(0, faultproxy.Entry{Kind: faultproxy.Opened, ConnID: id, Peer: far, PeerName: name})
+func (h *history) open(id uint32, peer protocol.Role, name string) {
+	h.put(0, faultproxy.Entry{Kind: faultproxy.Opened, ConnID: id, Peer: peer, PeerName: name})
 }
 
 // connect opens the connections to a client, the machine list and the machines.
@@ -73,7 +74,7 @@
 	h.open(machineC, protocol.RoleMachine, "c")
 }
 
-func (h *history) frame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
+func (h *history) putFrame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
 	conn, encoded := h.checker.connections[id], frames.Encode(h, f)[4:]
 	h.put(at, faultproxy.Entry{Kind: s, ConnID: id, Peer: conn.peer, PeerName: conn.name, Frame: encoded})
 }
@@ -89,10 +90,10 @@
 			f.Entries = append(f.Entries, e)
 		}
 	}
-	h.frame(at, faultproxy.ToScheduler, listConn, f)
+	h.putFrame(at, faultproxy.ToScheduler, listConn, f)
 }
 
-// restart kills the scheduler and starts it again; its connections are new, and the machine list is not heard yet.
+// restart kills the scheduler and starts it again with new connections. It has not received the machine list yet.
 func (h *history) restart(at int64) {
 	for _, id := range []uint32{clientConn, listConn, machineA, machineB, machineC} {
 		h.put(at, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: id})
@@ -109,55 +110,55 @@
 }
 
 func (h *history) submit(at int64, container string, class int) {
-	h.frame(at, faultproxy.ToScheduler, clientConn,
+	h.putFrame(at, faultproxy.ToScheduler, clientConn,
 		&protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.spec(container, class)})
 }
 
 func (h *history) offer(at int64, container string, class int, id uint32) uint64 {
 	h.attempts++
-	h.frame(at, faultproxy.FromScheduler, id,
+	h.putFrame(at, faultproxy.FromScheduler, id,
 		&protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)})
 	return h.attempts
 }
 
 func (h *history) result(at int64, id uint32, attempt uint64, o protocol.Outcome) {
-	h.frame(at, faultproxy.ToScheduler, id, &protocol.Result{AttemptID: attempt, Outcome: o})
+	h.putFrame(at, faultproxy.ToScheduler, id, &protocol.Result{AttemptID: attempt, Outcome: o})
 }
 
 func (h *history) accept(at int64, id uint32, attempt uint64) {
-	h.frame(at, faultproxy.ToScheduler, id, &protocol.Accept{AttemptID: attempt, Running: true})
+	h.putFrame(at, faultproxy.ToScheduler, id, &protocol.Accept{AttemptID: attempt, Running: true})
 }
 
 func (h *history) reply(at int64, container string, v protocol.Verdict) {
-	h.frame(at, faultproxy.FromScheduler, clientConn, &protocol.PlacementReply{ContainerID: container, Verdict: v})
+	h.putFrame(at, faultproxy.FromScheduler, clientConn, &protocol.PlacementReply{ContainerID: container, Verdict: v})
 }
 
-// cancelX has the client cancel container x by its ID and a key, none where it is empty.
+// cancelX has the client cancel container x by its ID and, unless it is empty, a key.
 func (h *history) cancelX(at int64, key string) {
-	h.frame(at, faultproxy.ToScheduler, clientConn, &protocol.CancelContainer{ContainerID: "x", IdempotencyKey: key})
+	h.putFrame(at, faultproxy.ToScheduler, clientConn, &protocol.CancelContainer{ContainerID: "x", IdempotencyKey: key})
 }
 
-// answerCancelOfX has the scheduler answer that container x was cancelled.
+// answerCancelOfX has the scheduler reply that container x was cancelled.
 func (h *history) answerCancelOfX(at int64) {
-	h.frame(at, faultproxy.FromScheduler, clientConn,
+	h.putFrame(at, faultproxy.FromScheduler, clientConn,
 		&protocol.PlacementReply{ContainerID: "x", Verdict: protocol.VerdictFailed, Message: protocol.MessageCancelled})
 }
 
 // stopX notifies the client that container x ended by a cancel.
 func (h *history) stopX(at int64) {
-	h.frame(at, faultproxy.FromScheduler, clientConn,
+	h.putFrame(at, faultproxy.FromScheduler, clientConn,
 		&protocol.Termination{ContainerID: "x", Outcome: protocol.OutcomeStopped})
 }
 
-// place submits a container to workload class 0, has it offered and accepted at a time, and replies.
+// place has a container of workload class 0 submitted, offered to machine a, accepted there and replied to.
 func (h *history) place(at int64, container string) {
 	h.submit(at-1, container, 0)
 	h.accept(at, machineA, h.offer(at, container, 0, machineA))
 	h.reply(at+1, container, protocol.VerdictPlaced)
 }
 
-// retry submits container x and has it offered to machine a and, some time later, over another connection. Neither
-// answers.
+// retry has container x submitted and offered to machine a and, at a later time, over another connection. Neither
+// machine answers.
 func (h *history) retry(class int, second uint32, secondAt int64, verdict protocol.Verdict) {
 	h.submit(1, "x", class)
 	h.offer(2, "x", class, machineA)
@@ -165,15 +166,15 @@
 	h.reply(700, "x", verdict)
 }
 
-// retryWithKey is retry, after the timeout, of a container that is idempotent with a key.
+// retryWithKey is retry for a container that is idempotent with a key, with the second offer after the timeout.
 func (h *history) retryWithKey(second uint32) { h.retry(1, second, 600, protocol.VerdictFailed) }
 
-// drain has the list say that machine a drains.
+// drain has the machine list report that machine a is draining.
 func (h *history) drain() {
 	h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
 }
 
-// slowStart sends five offers to a machine that has just started.
+// slowStart places five containers on a machine that has just started, with a gap between the offers.
 func (h *history) slowStart(gap int64) {
 	h.list(1, map[string]protocol.MachineEntry{"a": {Incarnation: 2}})
 	for i := range int64(5) {
@@ -181,7 +182,7 @@
 	}
 }
 
-// placeThree places two containers of a service on machines a and b, and a third over another connection.
+// placeThree places two containers of a service on machines a and b, and a third on another machine.
 func (h *history) placeThree(last uint32) {
 	for i, id := range []uint32{machineA, machineB, last} {
 		c := fmt.Sprint("x", i)
--- a/internal/testbed/audit/lag_test.go
+++ b/internal/testbed/audit/lag_test.go
@@ -8,36 +8,36 @@
 	"glenport/internal/testutil"
 )
 
-// late puts an entry that was recorded late.
-func (h *history) late(put func()) {
+// putLate calls put with the lag of a late entry.
+func (h *history) putLate(put func()) {
 	defer func(lag int64) { h.lag = lag }(h.lag)
 	h.lag = h.lateLag
 	put()
 }
 
-// submitWithin submits container x with a deadline of its own.
+// submitWithin submits container x with a given time to its deadline.
 func (h *history) submitWithin(timeToDeadline protocol.Duration, class int) {
-	h.frame(1, faultproxy.ToScheduler, clientConn,
+	h.putFrame(1, faultproxy.ToScheduler, clientConn,
 		&protocol.Submit{TimeToDeadline: timeToDeadline * ms, Spec: h.spec("x", class)})
 }
 
-// Each history breaks a rule, unless its one late entry has the lag that excuses it beside the slack of 20 ms.
+// Each history breaks a rule unless the lag of its one late entry, added to the slack of 20 ms, excuses it.
 var lateHistories = []struct {
 	name   string
 	play   func(h *history)
-	lag    int64 // the least that excuses it, in milliseconds
+	lag    int64 // the smallest lag that excuses the late entry, in milliseconds
 	broken Rule
 }{
 	{"the close of the first attempt's connection", func(h *history) {
 		h.submit(1, "x", 0)
 		h.offer(2, "x", 0, machineA)
 		h.offer(100, "x", 0, machineC)
-		h.late(func() { h.put(256, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: machineA}) })
+		h.putLate(func() { h.put(256, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: machineA}) })
 		h.reply(700, "x", protocol.VerdictRejected)
 	}, 136, RuleDuplicateRun},
 	{"the first attempt, whose timeout was over", func(h *history) {
 		h.submit(1, "x", 0)
-		h.late(func() { h.offer(100, "x", 0, machineA) })
+		h.putLate(func() { h.offer(100, "x", 0, machineA) })
 		h.offer(500, "x", 0, machineC)
 		h.reply(1100, "x", protocol.VerdictRejected)
 	}, 80, RuleDuplicateRun},
@@ -46,41 +46,41 @@
 		h.attempts = 1
 		h.offer(40, "x", 0, machineC)
 		h.attempts = 0
-		h.late(func() { h.offer(152, "x", 0, machineA) })
+		h.putLate(func() { h.offer(152, "x", 0, machineA) })
 		h.put(153, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: machineA})
 		h.reply(700, "x", protocol.VerdictRejected)
 	}, 93, RuleDuplicateRun},
 	{"an attempt within the deduplication window", func(h *history) {
 		h.submitWithin(9000, 1)
 		h.offer(2, "x", 1, machineA)
-		h.late(func() { h.offer(4100, "x", 1, machineB) })
+		h.putLate(func() { h.offer(4100, "x", 1, machineB) })
 		h.reply(5000, "x", protocol.VerdictFailed)
 	}, 78, RuleDuplicateRun},
 	{"an attempt within the drain grace", func(h *history) {
 		h.drain()
 		h.submit(2, "x", 0)
-		h.late(func() { h.offer(400, "x", 0, machineA) })
+		h.putLate(func() { h.offer(400, "x", 0, machineA) })
 		h.reply(1000, "x", protocol.VerdictRejected)
 	}, 129, RuleDraining},
 	{"an attempt before the reply", func(h *history) {
 		h.submit(1, "x", 0)
 		h.reply(2, "x", protocol.VerdictFailed)
-		h.late(func() { h.offer(100, "x", 0, machineA) })
+		h.putLate(func() { h.offer(100, "x", 0, machineA) })
 	}, 78, RuleFinalReply},
 	{"a reply", func(h *history) {
 		h.submit(1, "x", 0)
-		h.late(func() { h.reply(2100, "x", protocol.VerdictRejected) })
+		h.putLate(func() { h.reply(2100, "x", protocol.VerdictRejected) })
 	}, 69, RuleFinalReply},
 	{"the kill of a scheduler that owes a reply", func(h *history) {
 		h.submit(1, "x", 0)
-		h.late(func() { h.put(2100, faultproxy.Entry{Kind: faultproxy.Killed}) })
+		h.putLate(func() { h.put(2100, faultproxy.Entry{Kind: faultproxy.Killed}) })
 	}, 69, RuleFinalReply},
 	{"an attempt before the slow-start window", func(h *history) {
 		h.list(1, map[string]protocol.MachineEntry{"a": {Incarnation: 2}})
 		for _, container := range []string{"x", "y", "z", "w"} {
 			h.submit(1, container, 0)
 		}
-		h.late(func() { h.offer(100, "x", 0, machineA) })
+		h.putLate(func() { h.offer(100, "x", 0, machineA) })
 		h.offer(600, "y", 0, machineA)
 		h.offer(900, "z", 0, machineA)
 		h.offer(1050, "w", 0, machineA)
@@ -89,45 +89,46 @@
 		h.submit(1, "x", 2)
 		h.submit(1, "y", 2)
 		h.submit(1, "z", 2)
-		h.late(func() { h.offer(100, "x", 2, machineA) })
+		h.putLate(func() { h.offer(100, "x", 2, machineA) })
 		h.offer(102, "y", 2, machineB)
 		h.offer(500, "z", 2, machineA)
 	}, 80, RuleSpread},
 }
 
-func TestLagOfItsOwnEntryAloneExcusesWhatWasRecordedLate(t *testing.T) {
+func TestOnlyLagOfItsOwnEntryExcusesLateRecording(t *testing.T) {
 	for _, tc := range lateHistories {
 		for title, run := range map[string]struct {
 			lateLag, otherLag int64
 			broken            Rule
 		}{
-			"its lag":             {tc.lag, 0, 0},
-			"no lag":              {0, 0, tc.broken},
-			"less than its lag":   {tc.lag - 1, 0, tc.broken},
-			"the lag of all else": {0, tc.lag, tc.broken},
+			"its lag":                             {tc.lag, 0, 0},
+			"no lag":                              {0, 0, tc.broken},
+			"less than its lag":                   {tc.lag - 1, 0, tc.broken},
+			"only the other entries have the lag": {0, tc.lag, tc.broken},
 		} {
 			t.Run(tc.name+", "+title, func(t *testing.T) {
-				h := begin(t)
+				h := newHistory(t)
 				h.lateLag, h.lag = run.lateLag, run.otherLag
 				tc.play(h)
 				h.checker.finish()
-				expectJudged(t, &h.checker.report.Report, run.broken, tc.lag)
+				expectReport(t, &h.checker.report.Report, run.broken, tc.lag)
 			})
 		}
 	}
 }
 
-// expectJudged checks that one rule is broken, or that the lag of one entry decided that none is.
-func expectJudged(t *testing.T, report *Report, broken Rule, lag int64) {
+// expectReport checks that the report names one broken rule or, if broken is 0, that the lag of one entry decided that
+// none is broken.
+func expectReport(t *testing.T, report *Report, broken Rule, lag int64) {
 	t.Helper()
 	for _, v := range report.Violations {
 		testutil.Expect(t, v.Rule == broken, "reported %v", v)
 	}
 	if broken != 0 {
-		testutil.Expect(t, !report.Passed(), "rule %d is broken, and it is not reported", broken)
+		testutil.Expect(t, !report.Passed(), "rule %d is broken but not reported", broken)
 		return
 	}
-	testutil.Equal(t, report.WidenedEntries, 1, "entries judged with a widened slack")
+	testutil.Equal(t, report.WidenedEntries, 1, "entries excused by their lag")
 	testutil.Equal(t, report.WidenedLag, float64(lag))
 	testutil.Equal(t, report.LargestLag, float64(lag))
 }
--- a/internal/testbed/audit/locations.go
+++ b/internal/testbed/audit/locations.go
@@ -5,12 +5,12 @@
 	"glenport/scheduler"
 )
 
-// location is where a machine is.
+// location is the zone and the rack group of a machine.
 type location struct{ zone, rackGroup int }
 
-// machineLocations has the machines' locations by scheduler and machine, as each scheduler last learned them. They
-// outlast a scheduler's incarnations: it persists its machine list and goes by it after a restart until the list is
-// heard again.
+// machineLocations holds the locations of machines by scheduler and machine, as each scheduler last received them. They
+// outlive an incarnation of a scheduler: it persists its machine list and, after a restart, uses it until the next
+// update arrives.
 type machineLocations map[string]map[string]location
 
 func (l machineLocations) update(schedulerName string, entry protocol.MachineEntry) {
@@ -22,7 +22,8 @@
 	locations[entry.Machine] = location{entry.Zone, entry.RackGroup}
 }
 
-// sameScope reports whether two machines share a scope. A machine that no list of this scheduler named shares none.
+// sameScope reports whether two machines share a scope. A machine that this scheduler's machine list has never named
+// shares a scope with no other machine.
 func (l machineLocations) sameScope(s *schedulerState, a, b string, scope scheduler.Scope) bool {
 	if scope == scheduler.ScopeFleet || a == b {
 		return true
--- a/internal/testbed/audit/machinelist.go
+++ b/internal/testbed/audit/machinelist.go
@@ -8,7 +8,7 @@
 // listedMachine is a machine as the machine list describes it to a scheduler.
 type listedMachine struct {
 	protocol.MachineEntry
-	unavailableSince scheduler.Time // when the scheduler learned that it drains or is gone
+	unavailableSince scheduler.Time // when the scheduler learned that the machine is draining or gone
 	unavailable      bool
 }
 
@@ -20,7 +20,7 @@
 
 func (m *listedMachine) key() machineIncarnation { return machineIncarnation{m.Machine, m.Incarnation} }
 
-// update takes what the list now says of the machine.
+// update applies a new entry of the machine list.
 func (m *listedMachine) update(entry protocol.MachineEntry, now scheduler.Time) {
 	wasUnavailable := m.unavailable
 	m.MachineEntry, m.unavailable = entry, entry.State != protocol.MachineServing
@@ -29,10 +29,10 @@
 	}
 }
 
-// listUpdated applies an update of the machine list to what a scheduler knows.
-func (c *checker) listUpdated(s *schedulerState, f *protocol.MachineListUpdate) {
+// handleListUpdate applies an update of the machine list to the state of a scheduler.
+func (c *checker) handleListUpdate(s *schedulerState, f *protocol.MachineListUpdate) {
 	if f.FullSnapshot {
-		c.removeUnlisted(s, f.Entries)
+		c.markUnlistedGone(s, f.Entries)
 	}
 	for _, entry := range f.Entries {
 		c.locations.update(s.name, entry)
@@ -42,12 +42,12 @@
 			s.machines[entry.Machine] = m
 		}
 		m.update(entry, c.now.at)
-		c.slowStart.machineListed(s, m, c.now.at)
+		c.slowStart.recordStart(s, m, c.now.at)
 	}
 }
 
-// removeUnlisted marks the machines gone that a full snapshot leaves out.
-func (c *checker) removeUnlisted(s *schedulerState, entries []protocol.MachineEntry) {
+// markUnlistedGone marks the machines that are missing from a full snapshot as gone.
+func (c *checker) markUnlistedGone(s *schedulerState, entries []protocol.MachineEntry) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
 		listed[entry.Machine] = true
--- a/internal/testbed/audit/print.go
+++ b/internal/testbed/audit/print.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// PrintContainer writes what a recording has on one container: its frames, the ends of the connections over which they
-// went, and the starts and kills of schedulers.
+// PrintContainer writes the entries of a recording that concern one container: its frames, the ends of the connections
+// over which it was offered, and the starts and kills of schedulers.
 func PrintContainer(path, container string, out io.Writer) error {
 	p := &containerPrinter{container: container, out: out, attempts: map[uint64]bool{}, connections: map[uint32]bool{}}
 	var header faultproxy.Header
@@ -22,8 +22,8 @@
 type containerPrinter struct {
 	container   string
 	out         io.Writer
-	attempts    map[uint64]bool // of the container
-	connections map[uint32]bool // over which it was offered
+	attempts    map[uint64]bool // attempt IDs of the container
+	connections map[uint32]bool // connections over which the container was offered
 }
 
 func (p *containerPrinter) print(e *faultproxy.Entry) error {
@@ -58,7 +58,8 @@
 	return p.printEntry(e, text)
 }
 
-// concerns reports whether a frame is about the container, and remembers its attempts.
+// concerns reports whether a frame is about the container. It records the attempts of the container's offers, by which
+// later frames are recognized.
 func (p *containerPrinter) concerns(e *faultproxy.Entry, frame protocol.Frame) bool {
 	switch f := frame.(type) {
 	case *protocol.Offer:
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A trace names frames as docs/protocol.md does, and leaves out those of other containers.
+// A trace names frames as docs/protocol.md does, and omits the frames of other containers.
 func TestTraceNamesFramesOfTheContainer(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	file, err := os.Create(path)
--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -1,6 +1,6 @@
-// Package audit checks the five rules of the scheduler on a recording of what passed over the sockets, and on nothing
-// else: no scheduler's own account is believed. The checker holds the state that the recorded frames add up to; each
-// rule has a file.
+// Package audit checks the five rules of the scheduler on a recording of the frames that passed over the sockets. It
+// relies on nothing else, in particular on no status that a scheduler reports. The checker reconstructs the state from
+// the recorded frames; each rule has a file.
 package audit
 
 import (
@@ -19,8 +19,8 @@
 // The five rules.
 const (
 	RuleFinalReply   Rule = 1 + iota // each request gets one final reply in time
-	RuleDuplicateRun                 // nothing runs twice that must not
-	RuleDraining                     // a machine that drains or is gone gets no offers
+	RuleDuplicateRun                 // no container runs twice that must not
+	RuleDraining                     // a machine that is draining or gone gets no offers
 	RuleSlowStart                    // a machine in slow start gets no more offers than its budget
 	RuleSpread                       // no more containers of a service in one scope than allowed
 
@@ -32,10 +32,10 @@
 	Rule     Rule
 	At       scheduler.Time // since the recording's start
 	Message  string
-	Evidence []string // the frames that show it
+	Evidence []string // the frames that show the violation
 }
 
-// String is the violation on one line and its evidence, one frame a line, below it.
+// String returns the violation on one line, followed by its evidence with one frame a line.
 func (v Violation) String() string {
 	lines := []string{fmt.Sprintf("rule %d at %.1f ms: %s", v.Rule, milliseconds(v.At), v.Message)}
 	return strings.Join(append(lines, v.Evidence...), "\n    ")
@@ -43,30 +43,30 @@
 
 // Report is the outcome of an audit.
 type Report struct {
-	Violations []Violation // in order of time, some of each rule at most
+	Violations []Violation // in order of time, at most maxViolations of each rule
 	Frames     int
 	Submitted  int
 	Replies    [5]int // by verdict
 	Offers     int
 	Accepted   int // offers whose container ran
-	Abandoned  int // requests whose scheduler or connection ended before a reply was due
+	Abandoned  int // requests whose scheduler or client connection ended before the reply was due
 
-	SlowStartPeak   int     // offers in a window that came nearest to a machine's slow-start budget
-	SlowStartBudget int     // which is this
-	DrainLatency    float64 // milliseconds from the notice of a drain to the last offer to its machine
+	SlowStartPeak   int     // largest number of offers and probes to a machine in a slow-start window
+	SlowStartBudget int     // slow-start budget of a machine in a window
+	DrainLatency    float64 // milliseconds from the update that reports a drain to the last offer to the machine
 
 	LargestLag     float64 // milliseconds, of all entries
-	WidenedEntries int     // entries that were judged with a slack widened by their own lag
-	WidenedLag     float64 // milliseconds, the largest of these
+	WidenedEntries int     // entries that are in time only if their own lag is added to the slack
+	WidenedLag     float64 // milliseconds, the largest lag of these entries
 }
 
 // Passed reports whether no rule was broken.
 func (r *Report) Passed() bool { return len(r.Violations) == 0 }
 
-// CheckRecording checks the rules on the recording in a file.
+// CheckRecording checks the rules on a recording file.
 func CheckRecording(path string) (*Report, error) {
 	c := newChecker()
-	if err := faultproxy.Read(path, &c.header, c.process); err != nil {
+	if err := faultproxy.Read(path, &c.header, c.handleEntry); err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	c.finish()
--- a/internal/testbed/audit/rule_duplicate_run.go
+++ b/internal/testbed/audit/rule_duplicate_run.go
@@ -5,28 +5,29 @@
 	"glenport/scheduler"
 )
 
-// duplicateRunRule checks that no container runs twice that must not.
+// duplicateRunRule checks that no container runs twice unless its workload class allows it.
 type duplicateRunRule struct {
 	report    *reporter
 	header    *faultproxy.Header
 	locations machineLocations
-	ran       map[string]*attempt // at-most-once containers that ran, by idempotency key
+	ranByKey  map[string]*attempt // attempts whose at-most-once container ran, by idempotency key
 	overlaps  []overlap
 }
 
-// overlap is an attempt that was sent while the one before it seems to be in flight. A scheduler that resets a
-// connection sends the next attempt in the same moment, over another connection; which of the two the recording shows
-// first is chance. So an overlap is checked only at the end, when it is known whether the first attempt ended within
-// the slack, and of two attempts sent that close to each other the one of the lower id went first.
+// overlap is a pair of attempts of which, by the recording, the second was sent while the first was in flight. A
+// scheduler that resets a connection sends the next attempt at the same time over another connection, and the recording
+// may show the two events in either order. An overlap is therefore checked only at the end of the recording, when it is
+// known whether the first attempt ended within the slack. Of two attempts sent within the slack of each other, the one
+// with the lower id counts as the first.
 type overlap struct{ first, second *attempt }
 
 func newDuplicateRunRule(
 	report *reporter, header *faultproxy.Header, locations machineLocations,
 ) *duplicateRunRule {
-	return &duplicateRunRule{report: report, header: header, locations: locations, ran: map[string]*attempt{}}
+	return &duplicateRunRule{report: report, header: header, locations: locations, ranByKey: map[string]*attempt{}}
 }
 
-// violate reports a break of this rule, with the two frames that show it.
+// violate reports a violation of this rule, with the two frames that show it.
 func (r *duplicateRunRule) violate(at scheduler.Time, first, second string, format string, args ...any) {
 	r.report.violate(RuleDuplicateRun, at, []string{first, second}, format, args...)
 }
@@ -45,20 +46,20 @@
 	return o.first.ended && r.report.inTime(o.first.endedAt, max(o.first.sent.at, o.second.sent.at)+r.header.Slack)
 }
 
-// firstTimedOut reports whether the first attempt may have been sent long enough before it was recorded for the second
-// to follow its timeout.
+// firstTimedOut reports whether the first attempt, given the lag of its entry, may have timed out before the second was
+// sent.
 func (r *duplicateRunRule) firstTimedOut(o overlap) bool {
 	return o.first.sent.entry < o.second.sent.entry && r.report.timedOut(o.first, o.second.sent.at+r.header.Slack)
 }
 
-// checkRetry holds an attempt that is sent now against the earlier ones of its request: one that may have run limits
+// checkRetry checks a new attempt against the earlier ones of its request: an earlier attempt that may have run limits
 // where and when the container may run again.
 func (r *duplicateRunRule) checkRetry(s *schedulerState, req *request, a *attempt, class scheduler.WorkloadClass) {
 	for _, earlier := range req.attempts {
 		if earlier.neverRan {
 			continue
 		}
-		r.noteOverlap(earlier, a)
+		r.recordOverlap(earlier, a)
 		switch class.Idempotency {
 		case scheduler.AtMostOnce:
 			r.violate(a.sent.at, earlier.text, a.text,
@@ -70,7 +71,8 @@
 	}
 }
 
-// checkDeduplicated checks that the key of an earlier attempt still keeps this one from running a second time.
+// checkDeduplicated checks that the new attempt lies within the scope and the window in which machines deduplicate the
+// key of the earlier one.
 func (r *duplicateRunRule) checkDeduplicated(s *schedulerState, earlier, a *attempt, class scheduler.WorkloadClass) {
 	switch {
 	case !r.locations.sameScope(s, earlier.machine, a.machine, class.DedupScope):
@@ -82,7 +84,7 @@
 	}
 }
 
-func (r *duplicateRunRule) noteOverlap(earlier, a *attempt) {
+func (r *duplicateRunRule) recordOverlap(earlier, a *attempt) {
 	if earlier.ended || a.sent.at >= earlier.deadline()-r.header.Slack {
 		return
 	}
@@ -93,24 +95,25 @@
 	r.overlaps = append(r.overlaps, o)
 }
 
-// checkRanOnce checks that no other attempt with the idempotency key of an at-most-once container ran, whichever
-// scheduler sent it. The function same reports whether the attempt that ran before is this one.
-func (r *duplicateRunRule) checkRanOnce(a *attempt, now scheduler.Time, same func(earlier *attempt) bool) {
+// checkAtMostOnce checks that no other attempt with the idempotency key of an at-most-once container ran, whichever
+// scheduler sent it. The function same reports whether the attempt that is known to have run is this one.
+func (r *duplicateRunRule) checkAtMostOnce(a *attempt, now scheduler.Time, same func(earlier *attempt) bool) {
 	class, known := workloadClass(r.header, a.spec.WorkloadClass)
 	if !known || class.Idempotency != scheduler.AtMostOnce {
 		return
 	}
 	key := a.spec.IdempotencyKey
-	if earlier := r.ran[key]; earlier != nil && !same(earlier) {
+	if earlier := r.ranByKey[key]; earlier != nil && !same(earlier) {
 		r.violate(now, earlier.text, a.text, "at-most-once key %s ran twice", key)
 	}
-	r.ran[key] = a
+	r.ranByKey[key] = a
 }
 
-// checkRejectIsSafe checks a reject: the client may submit the container again, anywhere.
-func (r *duplicateRunRule) checkRejectIsSafe(req *request, now scheduler.Time, reply string) {
+// checkReject checks that no attempt of a rejected container may have run, unless the container may run again anywhere:
+// after a reject the client may submit it to any scheduler.
+func (r *duplicateRunRule) checkReject(req *request, now scheduler.Time, reply string) {
 	class, known := workloadClass(r.header, req.spec.WorkloadClass)
-	if !known || mayRunAnywhereAgain(class) {
+	if !known || mayRerunAnywhere(class) {
 		return
 	}
 	for _, a := range req.attempts {
@@ -121,7 +124,7 @@
 	}
 }
 
-func mayRunAnywhereAgain(class scheduler.WorkloadClass) bool {
+func mayRerunAnywhere(class scheduler.WorkloadClass) bool {
 	switch class.Idempotency {
 	case scheduler.AtMostOnce:
 		return false
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -9,67 +9,70 @@
 	"glenport/scheduler"
 )
 
-// submitted takes a placement request. A second one of the same container leaves the first owed.
-func (c *checker) submitted(s *schedulerState, connection uint32, f *protocol.Submit) {
+// handleSubmit records a placement request. A second submission of a container whose request has no reply yet is
+// ignored: the reply to the first one is still due.
+func (c *checker) handleSubmit(s *schedulerState, connection uint32, f *protocol.Submit) {
 	c.report.Submitted++
 	container := f.Spec.ContainerID
 	if r := s.requests[container]; r != nil && r.replies == 0 {
 		return
 	}
 	s.requests[container] = &request{
-		container:  container,
-		spec:       f.Spec,
-		connection: connection,
-		submitted:  c.now.at,
-		deadline:   c.now.at + scheduler.Time(f.TimeToDeadline),
+		container:    container,
+		spec:         f.Spec,
+		connectionID: connection,
+		submittedAt:  c.now.at,
+		deadline:     c.now.at + scheduler.Time(f.TimeToDeadline),
 	}
 }
 
-// cancelled notes a cancel by key: a reply says what became of the key where the scheduler knows the container no more.
-// It is the only reply to a container that was not submitted here; a request may have got its own before.
-func (s *schedulerState) cancelled(f *protocol.CancelContainer) {
+// handleCancel records a cancel by key. A scheduler that no longer knows the container answers it with a reply about
+// the key. For a container that was not submitted to this scheduler that is the only reply; for a submitted one it may
+// come in addition to the reply to the request.
+func (s *schedulerState) handleCancel(f *protocol.CancelContainer) {
 	if f.IdempotencyKey == "" {
 		return
 	}
 	if r := s.requests[f.ContainerID]; r != nil {
-		r.keyedCancels++
+		r.unansweredCancels++
 		return
 	}
 	s.lookups[f.ContainerID] = true
 }
 
-// terminated notes that the client of a container was notified of its end. Where a cancel by key ended the container,
-// that is the answer to the cancel, and no reply is due.
-func (s *schedulerState) terminated(f *protocol.Termination) {
+// handleTermination records that the client was notified of the end of its container. If a cancel by key ended the
+// container, the notification answers the cancel and no reply to it is due.
+func (s *schedulerState) handleTermination(f *protocol.Termination) {
 	r := s.requests[f.ContainerID]
 	if r == nil {
 		return
 	}
 	r.terminated = true
 	stopped := f.Outcome == protocol.OutcomeStopped && f.Reason == protocol.ReasonNone
-	if stopped && r.keyedCancels > 0 {
-		r.keyedCancels--
+	if stopped && r.unansweredCancels > 0 {
+		r.unansweredCancels--
 	}
 }
 
 // answersCancel reports whether a further reply answers a cancel by key that crossed the end of its request: the
-// scheduler had rejected or failed the request, or had reported the end of its container, and says that nothing runs.
-// Each cancel has one answer; that of a request which it ended is its answer as well.
+// scheduler had already rejected or failed the request, or had reported the end of its container, and replies that the
+// container is cancelled. Each cancel has one answer. If the cancel ended the request, the reply to the request is also
+// the answer to the cancel.
 func (r *request) answersCancel(f *protocol.PlacementReply) bool {
-	if f.Verdict != protocol.VerdictFailed || f.Message != protocol.MessageCancelled || r.keyedCancels == 0 {
+	if f.Verdict != protocol.VerdictFailed || f.Message != protocol.MessageCancelled || r.unansweredCancels == 0 {
 		return false
 	}
-	r.keyedCancels--
+	r.unansweredCancels--
 	return r.replies > 0 && (r.verdict != protocol.VerdictPlaced || r.terminated)
 }
 
-// replied checks that a reply is the only one to its request, in time and allowed.
-func (c *checker) replied(s *schedulerState, f *protocol.PlacementReply) {
+// handleReply checks that a reply is the only one to its request, that it is in time and that its verdict is allowed.
+func (c *checker) handleReply(s *schedulerState, f *protocol.PlacementReply) {
 	r := s.requests[f.ContainerID]
 	if r == nil {
 		if !s.lookups[f.ContainerID] {
 			c.report.violate(RuleFinalReply, c.now.at, nil,
-				"a reply for %s, which was not submitted to %s", f.ContainerID, s.name)
+				"reply for container %s, which was not submitted to %s", f.ContainerID, s.name)
 		}
 		delete(s.lookups, f.ContainerID)
 		return
@@ -82,15 +85,16 @@
 	c.checkReplyCount(r, f.Verdict, text)
 	if !c.report.inTime(c.now, r.deadline+c.replyGrace()) {
 		c.report.violate(RuleFinalReply, c.now.at, []string{text},
-			"container %s gets its reply %.1f ms after its deadline", r.container, milliseconds(c.now.at-r.deadline))
+			"container %s gets its reply %.1f ms after the deadline", r.container, milliseconds(c.now.at-r.deadline))
 	}
 	r.verdict, r.repliedAt = f.Verdict, c.now.at
 	if f.Verdict == protocol.VerdictRejected {
-		c.duplicateRun.checkRejectIsSafe(r, c.now.at, text)
+		c.duplicateRun.checkReject(r, c.now.at, text)
 	}
 }
 
-// checkReplyCount counts a reply. A container submitted twice may be refused admission the second time.
+// checkReplyCount checks that a request gets one reply. A further reply that refuses admission is not counted, as it
+// answers a second submission of the container.
 func (c *checker) checkReplyCount(r *request, verdict protocol.Verdict, text string) {
 	if r.replies > 0 && verdict == protocol.VerdictNotAdmitted {
 		return
@@ -103,8 +107,8 @@
 	}
 }
 
-// checkOfferIsOwed checks that an offer belongs to a request without a reply, and returns the request.
-func (c *checker) checkOfferIsOwed(s *schedulerState, a *attempt) *request {
+// checkRequestOpen checks that an offer belongs to a request that has no reply yet, and returns the request.
+func (c *checker) checkRequestOpen(s *schedulerState, a *attempt) *request {
 	r := s.requests[a.spec.ContainerID]
 	if r == nil {
 		c.report.violate(RuleFinalReply, c.now.at, []string{a.text},
@@ -119,7 +123,8 @@
 	return r
 }
 
-// abandon ends requests whose connection or scheduler is gone: no reply is owed, unless one was due before.
+// abandon ends the requests whose connection or scheduler has ended: no reply is due any more, but one that was already
+// overdue is a violation.
 func (c *checker) abandon(s *schedulerState, which func(*request) bool) {
 	for _, container := range slices.Sorted(maps.Keys(s.requests)) {
 		r := s.requests[container]
@@ -127,24 +132,24 @@
 			continue
 		}
 		if r.replies == 0 && !r.abandoned {
-			c.checkReplyWasNotDue(r)
+			c.checkAbandoned(r)
 		}
 		r.abandoned = true
 	}
 }
 
-func (c *checker) checkReplyWasNotDue(r *request) {
+func (c *checker) checkAbandoned(r *request) {
 	if c.report.inTime(c.now, r.deadline+c.replyGrace()) {
 		c.report.Abandoned++
 		return
 	}
-	evidence := []string{fmt.Sprintf("%.1f ms submit %s, deadline in %.1f ms", milliseconds(r.submitted), r.container,
-		milliseconds(r.deadline-r.submitted))}
+	evidence := []string{fmt.Sprintf("%.1f ms submit %s, deadline in %.1f ms", milliseconds(r.submittedAt), r.container,
+		milliseconds(r.deadline-r.submittedAt))}
 	for _, a := range r.attempts {
 		evidence = append(evidence, a.text)
 	}
 	c.report.violate(RuleFinalReply, r.deadline, evidence, "container %s gets no final reply", r.container)
 }
 
-// replyGrace is how long after the deadline a reply may be recorded.
+// replyGrace returns how long after the deadline a reply may be recorded.
 func (c *checker) replyGrace() scheduler.Time { return c.header.Config.AnswerGrace + c.header.Slack }
--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -12,54 +12,55 @@
 type slowStartRule struct {
 	report *reporter
 	header *faultproxy.Header
-	starts map[machineIncarnation]*slowStart
+	starts map[machineIncarnation]*machineStart
 }
 
-// slowStart is one start of a machine and what it was offered in the current window.
-type slowStart struct {
-	began      scheduler.Time
-	schedulers map[string]bool // which know of the start
-	offers     []moment
+// machineStart is one start of a machine, with the offers and probes to it in the current window.
+type machineStart struct {
+	startedAt scheduler.Time
+	knownBy   map[string]bool // names of the schedulers that know of the start
+	sends     []entryTime
 }
 
 func newSlowStartRule(report *reporter, header *faultproxy.Header) *slowStartRule {
-	return &slowStartRule{report: report, header: header, starts: map[machineIncarnation]*slowStart{}}
+	return &slowStartRule{report: report, header: header, starts: map[machineIncarnation]*machineStart{}}
 }
 
-// machineListed notes that a scheduler knows of a machine's start. A negative age is a start long ago.
-func (r *slowStartRule) machineListed(s *schedulerState, m *listedMachine, now scheduler.Time) {
+// recordStart records that a scheduler knows of a machine's start. A negative age stands for a start long ago.
+func (r *slowStartRule) recordStart(s *schedulerState, m *listedMachine, now scheduler.Time) {
 	if m.Age < 0 {
 		return
 	}
 	start := r.starts[m.key()]
 	if start == nil {
-		start = &slowStart{began: now - scheduler.Time(m.Age), schedulers: map[string]bool{}}
+		start = &machineStart{startedAt: now - scheduler.Time(m.Age), knownBy: map[string]bool{}}
 		r.starts[m.key()] = start
 	}
-	start.schedulers[s.name] = true
+	start.knownBy[s.name] = true
 }
 
-// checkSend counts an offer or a probe to a machine, from schedulers that know of its start, against its budget. Where
-// they exceed it, those are left out that by their own lag may have been sent before the window.
-func (r *slowStartRule) checkSend(s *schedulerState, machine string, now moment) {
+// checkSend counts an offer or a probe against the slow-start budget of a machine, if the sender knows of the machine's
+// start. If the budget is exceeded, sends that may have preceded the window, given the lag of their entries, are not
+// counted.
+func (r *slowStartRule) checkSend(s *schedulerState, machine string, now entryTime) {
 	m := s.machines[machine]
 	if m == nil {
 		return
 	}
 	terms := &r.header.Config
 	start := r.starts[m.key()]
-	if start == nil || !start.schedulers[s.name] || now.at >= start.began+terms.SlowStartPeriod {
+	if start == nil || !start.knownBy[s.name] || now.at >= start.startedAt+terms.SlowStartPeriod {
 		return
 	}
-	start.offers = append(start.offers, now)
-	windowBegan := now.at - terms.SlowStartWindow
-	for start.offers[0].at <= windowBegan {
-		start.offers = start.offers[1:]
+	start.sends = append(start.sends, now)
+	windowStart := now.at - terms.SlowStartWindow
+	for start.sends[0].at <= windowStart {
+		start.sends = start.sends[1:]
 	}
-	counted := start.offers
+	counted := start.sends
 	if len(counted) > terms.SlowStartBudget {
-		counted = slices.DeleteFunc(slices.Clone(counted), func(sent moment) bool {
-			return r.report.inTime(sent, windowBegan)
+		counted = slices.DeleteFunc(slices.Clone(counted), func(sent entryTime) bool {
+			return r.report.inTime(sent, windowStart)
 		})
 	}
 	offers := len(counted)
@@ -70,9 +71,9 @@
 	}
 	var evidence []string
 	for _, m := range counted {
-		evidence = append(evidence, fmt.Sprintf("%.1f ms an offer or a probe to %s", milliseconds(m.at), machine))
+		evidence = append(evidence, fmt.Sprintf("%.1f ms offer or probe to %s", milliseconds(m.at), machine))
 	}
 	r.report.violate(RuleSlowStart, now.at, evidence,
-		"machine %s, in slow start since %.1f ms, gets %d offers in %.1f ms, its budget is %d; the last by %s", machine,
-		milliseconds(start.began), offers, milliseconds(terms.SlowStartWindow), terms.SlowStartBudget, s.name)
+		"machine %s, in slow start since %.1f ms, gets %d offers in %.1f ms, budget %d; last sender %s", machine,
+		milliseconds(start.startedAt), offers, milliseconds(terms.SlowStartWindow), terms.SlowStartBudget, s.name)
 }
--- a/internal/testbed/audit/rule_spread.go
+++ b/internal/testbed/audit/rule_spread.go
@@ -6,13 +6,13 @@
 	"glenport/scheduler"
 )
 
-// checkSpread counts what a scheduler has of a service in the scope of an attempt's machine, with this attempt: what
-// runs, and the attempts whose timeout is not over.
+// checkSpread checks how many containers of a service a scheduler has in the scope of an attempt's machine, including
+// this attempt: those that run, and the attempts that have not timed out.
 func (c *checker) checkSpread(s *schedulerState, a *attempt, class scheduler.WorkloadClass) {
 	if class.SpreadScope == scheduler.ScopeNone {
 		return
 	}
-	counted := c.countedForSpread(s, a, class.SpreadScope)
+	counted := c.spreadAttempts(s, a, class.SpreadScope)
 	if len(counted) > class.MaxPerScope {
 		counted = slices.DeleteFunc(counted, func(other *attempt) bool {
 			return other != a && !other.ran && c.report.timedOut(other, c.now.at+c.header.Slack)
@@ -25,13 +25,14 @@
 		}
 		slices.Sort(evidence)
 		c.report.violate(RuleSpread, a.sent.at, evidence,
-			"%s has %d containers of service %s in one scope, %d are allowed",
+			"%s has %d containers of service %s in one scope, limit %d",
 			s.name, count, a.spec.Service, class.MaxPerScope)
 	}
 }
 
-// countedForSpread returns the attempts of a service in the scope of one of them, going by when they were recorded.
-func (c *checker) countedForSpread(s *schedulerState, a *attempt, scope scheduler.Scope) (counted []*attempt) {
+// spreadAttempts returns the attempts of the same service in the same scope as an attempt, itself included. It leaves
+// out attempts that have timed out by their recorded times.
+func (c *checker) spreadAttempts(s *schedulerState, a *attempt, scope scheduler.Scope) (counted []*attempt) {
 	for other := range s.inFlight {
 		sameScope := c.locations.sameScope(s, other.machine, a.machine, scope)
 		if !sameScope || other.spec.Service != a.spec.Service {
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -7,54 +7,54 @@
 	"glenport/scheduler"
 )
 
-// schedulerState is one incarnation of a scheduler, as seen from outside.
+// schedulerState is the state of one incarnation of a scheduler, reconstructed from the frames.
 type schedulerState struct {
 	name     string
 	requests map[string]*request // by container
 	machines map[string]*listedMachine
-	inFlight map[*attempt]bool // offered without an outcome, or running
-	lookups  map[string]bool   // lookups and cancels by key, by container: a reply to each is due
+	inFlight map[*attempt]bool // attempts without an outcome, and those whose container runs
+	lookups  map[string]bool   // containers for which the reply to a lookup or a cancel by key is due
 }
 
 // request is a container that a client submitted to a scheduler.
 type request struct {
-	container  string
-	spec       protocol.ContainerSpec
-	connection uint32 // of the client
-	submitted  scheduler.Time
-	deadline   scheduler.Time
-	attempts   []*attempt
+	container    string
+	spec         protocol.ContainerSpec
+	connectionID uint32 // the client's connection
+	submittedAt  scheduler.Time
+	deadline     scheduler.Time
+	attempts     []*attempt
 
 	replies   int
 	verdict   protocol.Verdict
 	repliedAt scheduler.Time
-	abandoned bool // its connection or scheduler ended: no reply is owed
+	abandoned bool // its connection or scheduler ended: no reply is due
 
-	terminated   bool // the client was notified that the container ended
-	keyedCancels int  // cancels by key that no answer was attributed to
+	terminated        bool // the client was notified that the container ended
+	unansweredCancels int  // cancels by key without an answer yet
 }
 
-// attempt is one offer of a container to a machine, or a container that a machine's inventory names.
+// attempt is one offer of a container to a machine, or a running container in a machine's inventory.
 type attempt struct {
 	id       uint64
 	machine  string
 	spec     protocol.ContainerSpec
-	sent     moment
+	sent     entryTime
 	timeout  scheduler.Time
 	ran      bool
 	ended    bool
-	endedAt  moment // if it ended
-	neverRan bool   // the machine refused it
-	text     string // for evidence
+	endedAt  entryTime // if it ended
+	neverRan bool      // the machine rejected it
+	text     string    // for evidence
 }
 
-// end notes that the attempt has an outcome, or will have none.
-func (a *attempt) end(m moment) { a.ended, a.endedAt = true, m }
+// markEnded records that the attempt has an outcome or, as its connection closed, will never have one.
+func (a *attempt) markEnded(m entryTime) { a.ended, a.endedAt = true, m }
 
-// deadline is when the attempt times out, going by when it was recorded.
+// deadline returns when the attempt times out, by its recorded time.
 func (a *attempt) deadline() scheduler.Time { return a.sent.at + a.timeout }
 
-// connection is one between a scheduler and a client, a machine or the machine list.
+// connection is a connection between a scheduler and a client, a machine or the machine list.
 type connection struct {
 	peer     protocol.Role
 	name     string              // of the peer
@@ -76,8 +76,8 @@
 	return s
 }
 
-// offered takes an offer and checks the rules on offers.
-func (c *checker) offered(s *schedulerState, conn *connection, f *protocol.Offer) {
+// handleOffer records an offer and checks the rules on offers.
+func (c *checker) handleOffer(s *schedulerState, conn *connection, f *protocol.Offer) {
 	c.report.Offers++
 	a := &attempt{
 		id:      f.AttemptID,
@@ -88,7 +88,7 @@
 		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now.at), s.name,
 			f.Spec.ContainerID, conn.name, f.AttemptID, milliseconds(scheduler.Time(f.Timeout))),
 	}
-	r := c.checkOfferIsOwed(s, a)
+	r := c.checkRequestOpen(s, a)
 	class, known := workloadClass(&c.header, f.Spec.WorkloadClass)
 	if !known {
 		c.report.violate(RuleFinalReply, a.sent.at, []string{a.text},
@@ -104,42 +104,42 @@
 	c.checkSpread(s, a, class)
 }
 
-// accepted takes a machine's accept; it counts once the container runs.
-func (c *checker) accepted(s *schedulerState, conn *connection, f *protocol.Accept) {
+// handleAccept handles a machine's accept. It is counted only if it reports that the container runs.
+func (c *checker) handleAccept(s *schedulerState, conn *connection, f *protocol.Accept) {
 	if a := conn.attempts[f.AttemptID]; a != nil && f.Running {
 		c.report.Accepted++
-		c.started(s, a)
+		c.markRunning(s, a)
 	}
 }
 
-// started notes that an attempt's container runs.
-func (c *checker) started(s *schedulerState, a *attempt) {
+// markRunning records that the container of an attempt runs.
+func (c *checker) markRunning(s *schedulerState, a *attempt) {
 	if a.ran {
 		return
 	}
 	a.ran = true
 	s.inFlight[a] = true
-	c.duplicateRun.checkRanOnce(a, c.now.at, func(earlier *attempt) bool { return earlier == a })
+	c.duplicateRun.checkAtMostOnce(a, c.now.at, func(earlier *attempt) bool { return earlier == a })
 }
 
-// ended takes the outcome of an attempt.
-func (c *checker) ended(s *schedulerState, conn *connection, f *protocol.Result) {
+// handleResult records the outcome of an attempt.
+func (c *checker) handleResult(s *schedulerState, conn *connection, f *protocol.Result) {
 	a := conn.attempts[f.AttemptID]
 	if a == nil {
 		return
 	}
 	delete(conn.attempts, f.AttemptID)
 	delete(s.inFlight, a)
-	a.end(c.now)
+	a.markEnded(c.now)
 	a.neverRan = f.Outcome == protocol.OutcomeFull && !a.ran
 	if f.Outcome == protocol.OutcomeFinished {
-		c.started(s, a)
+		c.markRunning(s, a)
 		delete(s.inFlight, a)
 	}
 }
 
-// inventory takes what a machine says that it runs for a scheduler, for this and earlier incarnations.
-func (c *checker) inventory(s *schedulerState, conn *connection, f *protocol.Inventory) {
+// handleInventory records the containers that a machine runs for a scheduler, those of earlier incarnations included.
+func (c *checker) handleInventory(s *schedulerState, conn *connection, f *protocol.Inventory) {
 	for _, item := range f.Containers {
 		if !item.Running {
 			continue
@@ -155,6 +155,6 @@
 		}
 		conn.attempts[a.id] = a
 		s.inFlight[a] = true
-		c.duplicateRun.checkRanOnce(a, c.now.at, func(earlier *attempt) bool { return earlier.id == a.id })
+		c.duplicateRun.checkAtMostOnce(a, c.now.at, func(earlier *attempt) bool { return earlier.id == a.id })
 	}
 }
--- a/internal/testbed/audit/violations.go
+++ b/internal/testbed/audit/violations.go
@@ -6,20 +6,20 @@
 	"glenport/scheduler"
 )
 
-// maxViolations of one rule are reported.
+// maxViolations is how many violations of one rule are reported.
 const maxViolations = 20
 
-// reporter is the report in the making, to which each rule adds.
+// reporter accumulates the report; all rules write to it.
 type reporter struct {
 	Report
-	violations map[Rule]int // all of them, also those beyond what is reported
-	widened    map[int]bool // entries that only their lag kept from being a violation
+	violationCounts map[Rule]int // all violations, including those that are not reported
+	widenedEntries  map[int]bool // numbers of the entries for which only their lag decides
 }
 
-// violate reports a break of a rule.
+// violate reports a violation of a rule.
 func (r *reporter) violate(rule Rule, at scheduler.Time, evidence []string, format string, args ...any) {
-	r.violations[rule]++
-	if r.violations[rule] <= maxViolations {
+	r.violationCounts[rule]++
+	if r.violationCounts[rule] <= maxViolations {
 		r.Violations = append(r.Violations, Violation{rule, at, fmt.Sprintf(format, args...), evidence})
 	}
 }
