--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -1,5 +1,5 @@
-// Package mutants wraps the decisions of a scheduler or of a route announcer so that they break a rule on purpose: a
-// check that does not see the mutant checks nothing. Only the test bed uses it.
+// Package mutants wraps the decisions of a scheduler or of a route announcer so that they break a rule on purpose. They
+// test the checks: a check that does not report the mutant is worthless. Only the test bed uses this package.
 package mutants
 
 import (
@@ -12,29 +12,29 @@
 )
 
 const (
-	lostRequestInterval = 25 // of this many requests one gets no reply
-	hastyTimeout        = 5 * scheduler.Millisecond
+	lostRequestInterval = 25 // one request in this many gets no reply
+	prematureTimeout    = 5 * scheduler.Millisecond
 )
 
-// UnknownRuleError says that there is no rule of a number.
+// UnknownRuleError reports that there is no rule with a given number.
 type UnknownRuleError struct{ Rule int }
 
 func (e *UnknownRuleError) Error() string {
-	return fmt.Sprintf("there are rules 1 to %d, no rule %d", audit.LastRule, e.Rule)
+	return fmt.Sprintf("rules are numbered from 1 to %d; there is no rule %d", audit.LastRule, e.Rule)
 }
 
-// Mutant stands between a scheduler's process and its decisions and breaks one rule.
+// Mutant sits between the process of a scheduler and its decisions, and breaks one rule.
 type Mutant struct {
 	schedulerd.Scheduler
 	rule       audit.Rule
 	config     scheduler.Config
 	requests   int
 	machines   map[scheduler.MachineID]scheduler.MachineEntry
-	atMostOnce map[scheduler.ContainerID]bool // requests of that idempotency, until their end
-	duplicated map[scheduler.ContainerID]bool // those of which a second copy was started
+	atMostOnce map[scheduler.ContainerID]bool // open requests of at-most-once containers
+	duplicated map[scheduler.ContainerID]bool // those of which a second copy has been started
 }
 
-// New returns a mutant that breaks the rule of that number. The error is an *UnknownRuleError.
+// New returns a mutant that breaks the rule with a given number. The error is an *UnknownRuleError.
 func New(rule int, config scheduler.Config, decisions schedulerd.Scheduler) (*Mutant, error) {
 	broken := audit.Rule(rule)
 	if broken < audit.RuleFinalReply || broken > audit.LastRule {
@@ -50,7 +50,8 @@
 	}, nil
 }
 
-// Handle withholds events from the decisions and changes the machines of their attempts, as the broken rule asks for.
+// Handle passes events to the decisions and returns their actions, changed so that the rule is broken: it may drop
+// requests, redirect attempts to other machines and start attempts of its own.
 func (m *Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	var duplicates []scheduler.Action
 	kept := events[:0]
@@ -61,11 +62,11 @@
 				m.machines[entry.Machine] = entry
 			}
 		case scheduler.RequestReceived:
-			if m.losesRequest(event) {
+			if m.dropRequest(event) {
 				continue
 			}
 		case scheduler.AttemptEnded:
-			if duplicate, ok := m.duplicate(event); ok {
+			if duplicate, ok := m.startDuplicate(event); ok {
 				duplicates = append(duplicates, duplicate)
 				continue
 			}
@@ -81,8 +82,8 @@
 	return actions
 }
 
-// losesRequest takes note of a request and reports whether the decisions never hear of it.
-func (m *Mutant) losesRequest(request scheduler.RequestReceived) bool {
+// dropRequest counts a request and reports whether it is withheld from the decisions.
+func (m *Mutant) dropRequest(request scheduler.RequestReceived) bool {
 	m.requests++
 	if m.rule == audit.RuleFinalReply && m.requests%lostRequestInterval == 0 {
 		return true
@@ -93,12 +94,13 @@
 	return false
 }
 
-// duplicate starts a second copy of a container that may have run and must not run again.
-func (m *Mutant) duplicate(ended scheduler.AttemptEnded) (scheduler.StartAttempt, bool) {
+// startDuplicate returns an attempt that starts a second copy of a container that may have run and must not run again;
+// false if the rule or the outcome does not call for one.
+func (m *Mutant) startDuplicate(ended scheduler.AttemptEnded) (scheduler.StartAttempt, bool) {
 	id := ended.ID
 	mustNotRunAgain := m.atMostOnce[id] && !ended.Final && mayHaveRun(ended.Outcome)
 	if m.rule == audit.RuleDuplicateRun && mustNotRunAgain && !m.duplicated[id] {
-		if machine, ok := m.firstMatching(ended.Machine, isAny); ok {
+		if machine, ok := m.firstMachine(ended.Machine, anyMachine); ok {
 			m.duplicated[id] = true
 			return scheduler.StartAttempt{ID: id, Machine: machine}, true
 		}
@@ -115,30 +117,30 @@
 		outcome == scheduler.OutcomeErrored
 }
 
-// mutate changes an attempt so that it breaks the rule, where a machine for that exists.
+// mutate changes an attempt so that it breaks the rule, if there is a suitable machine.
 func (m *Mutant) mutate(now scheduler.Time, attempt scheduler.StartAttempt) scheduler.StartAttempt {
 	switch m.rule {
 	case audit.RuleDuplicateRun:
 		if m.atMostOnce[attempt.ID] && !m.duplicated[attempt.ID] {
-			attempt.Timeout = hastyTimeout // no machine accepts so soon
+			attempt.Timeout = prematureTimeout // expires before any machine accepts
 		}
 	case audit.RuleDraining:
-		// Each in turn: the process does not send what waits for a connection to an unreachable machine.
-		if draining := m.matching("", isDraining); len(draining) > 0 {
+		// Rotates over the draining machines: an offer to an unreachable one waits for a connection and is never sent.
+		if draining := m.matchingMachines("", isDraining); len(draining) > 0 {
 			attempt.Machine = draining[m.requests%len(draining)]
 		}
 	case audit.RuleSlowStart:
 		inSlowStart := func(e scheduler.MachineEntry) bool {
 			return isServing(e) && e.StartedAt > 0 && now < e.StartedAt+m.config.SlowStartPeriod
 		}
-		if machine, ok := m.firstMatching("", inSlowStart); ok {
+		if machine, ok := m.firstMachine("", inSlowStart); ok {
 			attempt.Machine = machine
 		}
 	case audit.RuleSpread:
-		if machine, ok := m.firstMatching("", isServing); ok {
+		if machine, ok := m.firstMachine("", isServing); ok {
 			attempt.Machine = machine
 		}
-	case audit.RuleFinalReply: // is broken by losesRequest
+	case audit.RuleFinalReply: // broken by dropRequest
 	}
 	return attempt
 }
@@ -147,7 +149,7 @@
 
 func isDraining(entry scheduler.MachineEntry) bool { return entry.State == scheduler.MachineDraining }
 
-func isAny(scheduler.MachineEntry) bool { return true }
+func anyMachine(scheduler.MachineEntry) bool { return true }
 
 func (m *Mutant) idempotency(workload int) scheduler.Idempotency {
 	if workload < len(m.config.WorkloadClasses) {
@@ -156,19 +158,19 @@
 	return scheduler.Idempotent
 }
 
-// firstMatching is the first machine by name that matches and is not the excluded one.
-func (m *Mutant) firstMatching(
+// firstMachine returns the first machine by name that matches and is not the excluded one.
+func (m *Mutant) firstMachine(
 	excluded scheduler.MachineID,
 	matches func(scheduler.MachineEntry) bool,
 ) (scheduler.MachineID, bool) {
-	all := m.matching(excluded, matches)
+	all := m.matchingMachines(excluded, matches)
 	if len(all) == 0 {
 		return "", false
 	}
 	return all[0], true
 }
 
-func (m *Mutant) matching(
+func (m *Mutant) matchingMachines(
 	excluded scheduler.MachineID,
 	matches func(scheduler.MachineEntry) bool,
 ) []scheduler.MachineID {
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -8,23 +8,23 @@
 	"glenport/scheduler"
 )
 
-// RouteMutation is a way to break the announcing of routes; its text is the value of the command line flag.
+// RouteMutation is a way to break the announcement of routes; its text is the value of a command-line flag.
 type RouteMutation string
 
 const (
-	// LateWithdrawals makes each withdrawal three seconds late.
+	// LateWithdrawals delays each withdrawal by three seconds.
 	LateWithdrawals RouteMutation = "late"
-	// UpdateStorm announces and withdraws at each start and end of a container, without damping.
+	// UpdateStorm announces a route at each start of a container and withdraws it at each end, without damping.
 	UpdateStorm RouteMutation = "storm"
 )
 
 const (
 	withdrawalDelay  = 3 * scheduler.Second
 	stormPreference  = 100
-	timerGranularity = 1 // by which the timer fires after a delayed action is due
+	timerGranularity = 1 // the timer is set this much later than the delayed action is due
 )
 
-// routeMutant stands between a BGP speaker and its decisions.
+// routeMutant sits between a BGP speaker and its decisions.
 type routeMutant struct {
 	speaker.RouteDecider
 	mutation      RouteMutation
@@ -38,7 +38,7 @@
 	action announce.Action
 }
 
-// NewRouteMutant wraps decisions so that they are broken as the mutation says; an unknown mutation breaks nothing.
+// NewRouteMutant wraps decisions with a mutation. An unknown mutation changes nothing.
 func NewRouteMutant(mutation RouteMutation, decisions speaker.RouteDecider) speaker.RouteDecider {
 	return &routeMutant{
 		RouteDecider: decisions, mutation: mutation,
@@ -46,9 +46,9 @@
 	}
 }
 
-// Handle changes the actions of the decisions.
+// Handle passes events to the decisions and returns their actions, changed by the mutation.
 func (r *routeMutant) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
-	actions := r.takeDue(now)
+	actions := r.takeDueActions(now)
 	for _, action := range r.RouteDecider.Handle(now, events) {
 		if withdraw, ok := action.(announce.Withdraw); ok && r.mutation == LateWithdrawals {
 			r.delayed = append(r.delayed, delayedAction{now + withdrawalDelay, withdraw})
@@ -57,12 +57,12 @@
 		actions = append(actions, action)
 	}
 	if r.mutation == UpdateStorm {
-		actions = append(actions, r.storm(events)...)
+		actions = append(actions, r.stormActions(events)...)
 	}
 	return actions
 }
 
-func (r *routeMutant) takeDue(now scheduler.Time) []announce.Action {
+func (r *routeMutant) takeDueActions(now scheduler.Time) []announce.Action {
 	var due []announce.Action
 	for len(r.delayed) > 0 && r.delayed[0].dueAt <= now {
 		due = append(due, r.delayed[0].action)
@@ -71,8 +71,8 @@
 	return due
 }
 
-// storm announces or withdraws a route at each event of a container.
-func (r *routeMutant) storm(events []announce.Event) []announce.Action {
+// stormActions returns an announcement for each container that runs and a withdrawal for each that ended.
+func (r *routeMutant) stormActions(events []announce.Event) []announce.Action {
 	var actions []announce.Action
 	for _, event := range events {
 		switch event := event.(type) {
