--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -1,6 +1,6 @@
-// Package modelcheck plays every order of a few events against schedulers of a tiny fleet, and checks the five rules
-// after each event. Only tests use it. The checker sees the events that go into schedulers and the actions that come
-// out, never their fields, and keeps its own account.
+// Package modelcheck plays every sequence of a few events against the schedulers of a tiny fleet, and checks the five
+// rules after each event. Only tests use it. The checker sees only the events that schedulers are given and the actions
+// that they return, never their fields, and keeps its own state.
 package modelcheck
 
 import (
@@ -10,46 +10,46 @@
 	"glenport/scheduler"
 )
 
-// Checker follows all schedulers of a fleet through one sequence of events.
+// Checker checks the rules on all schedulers of a fleet through one sequence of events.
 type Checker struct {
-	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at
-	// a machine that the container was offered to before.
+	// Violations lists the violations in order. Each begins with "rule N: ", or with "placement: " for an offer to a
+	// machine to which the container was offered before.
 	Violations []string
 
 	config          scheduler.Config
-	drainGrace      scheduler.Time // in which attempts may still go to a machine that is seen to drain
-	incarnations    []*incarnation // by scheduler
+	drainGrace      scheduler.Time // how long after a drain is seen the machine may still get attempts
+	incarnations    []*incarnation // by scheduler index
 	attemptsChecked int
 }
 
-// incarnation is what one incarnation of a scheduler was given and did.
+// incarnation is the state of one incarnation of a scheduler, reconstructed from its events and actions.
 type incarnation struct {
 	containers map[scheduler.ContainerID]*container
 	machines   map[scheduler.MachineID]*machine
-	sent       map[scheduler.MachineID][]recordedSend // of all incarnations of the scheduler
+	sent       map[scheduler.MachineID][]recordedSend // offers and probes of all incarnations of the scheduler
 }
 
 type container struct {
 	request  scheduler.PlacementRequest
 	attempts []*attempt
 	replied  bool
-	settled  bool // nothing is owed any more
+	settled  bool // no further reply or attempt is due
 	running  bool
 }
 
 type attempt struct {
-	machine     scheduler.MachineID
-	sentAt      scheduler.Time
-	outstanding bool
-	mayRun      bool
-	zone        int
-	rackGroup   int
-	unlisted    bool // its machine has been in no list, so its zone and rack group are unknown
+	machine         scheduler.MachineID
+	sentAt          scheduler.Time
+	outstanding     bool
+	mayRun          bool
+	zone            int
+	rackGroup       int
+	locationUnknown bool // its machine has been in no list, so its zone and rack group are unknown
 }
 
 type machine struct {
 	scheduler.MachineEntry
-	unavailableSince scheduler.Time // when it was seen to drain or to be gone; 0: it is available
+	unavailableSince scheduler.Time // when the scheduler learned that it is draining or gone; 0: it is available
 }
 
 type recordedSend struct {
@@ -57,7 +57,7 @@
 	knewSlowStart bool
 }
 
-// NewChecker is for schedulers of one configuration, apart from their index.
+// NewChecker returns a checker for schedulers whose configurations differ only in the index.
 func NewChecker(config scheduler.Config, schedulers int, drainGrace scheduler.Time) *Checker {
 	c := &Checker{config: config, drainGrace: drainGrace}
 	for range schedulers {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Restarted begins another incarnation of a scheduler; clients handle what it had open.
+// Restarted begins the next incarnation of a scheduler. The open requests of the one before are left to their clients.
 func (c *Checker) Restarted(index int) {
 	sent := c.incarnations[index].sent
 	c.incarnations[index] = newIncarnation()
@@ -85,7 +85,7 @@
 	c.Violations = append(c.Violations, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(format, arguments...))
 }
 
-// ObserveEvent takes an event that a scheduler is given.
+// ObserveEvent updates the state by an event that a scheduler is given.
 func (c *Checker) ObserveEvent(index int, now scheduler.Time, event scheduler.Event) {
 	in := c.incarnations[index]
 	switch event := event.(type) {
@@ -130,7 +130,7 @@
 	if event.Final {
 		c.replied, c.settled = true, true
 	} else if !c.settled {
-		c.replied = false // an accept that crossed the cancel of its attempt is no reply
+		c.replied = false // an accept that crossed the cancel of its attempt does not count as the reply
 	}
 }
 
@@ -179,15 +179,15 @@
 }
 
 func (a *attempt) setLocation(m *machine) {
-	a.unlisted = m == nil
+	a.locationUnknown = m == nil
 	if m != nil {
 		a.zone, a.rackGroup = m.Zone, m.RackGroup
 	}
 }
 
-// sharesScope reports whether two attempts went, or may have gone, to the same group of machines.
+// sharesScope reports whether two attempts went to machines of one scope, or may have gone where a location is unknown.
 func (a *attempt) sharesScope(other *attempt, scope scheduler.Scope) bool {
-	unknown := a.unlisted || other.unlisted
+	unknown := a.locationUnknown || other.locationUnknown
 	switch scope {
 	case scheduler.ScopeFleet:
 		return true
--- a/internal/testbed/modelcheck/events.go
+++ b/internal/testbed/modelcheck/events.go
@@ -7,42 +7,43 @@
 	"glenport/scheduler"
 )
 
-// eventKind is the first word of an event in World.Events. What it happens to follows as the last word.
+// eventKind is the first word of an event in World.Events. The last word names the container or machine that the event
+// concerns, if there is one.
 type eventKind string
 
 const (
-	eventRequest  eventKind = "request"  // the next request
+	eventRequest  eventKind = "request"  // the next request arrives
 	eventAccept   eventKind = "accept"   // CONTAINER: its machine accepts
-	eventFull     eventKind = "full"     // CONTAINER: the attempt ends so
-	eventTimeout  eventKind = "timeout"  // CONTAINER
-	eventReset    eventKind = "reset"    // CONTAINER
-	eventErrored  eventKind = "errored"  // CONTAINER
-	eventUnsent   eventKind = "unsent"   // CONTAINER
-	eventFinished eventKind = "finished" // CONTAINER: a running one ends so
-	eventLost     eventKind = "lost"     // CONTAINER
-	eventStopped  eventKind = "stopped"  // CONTAINER: its accept crossed the cancel of the attempt
-	eventCancel   eventKind = "cancel"   // CONTAINER: by its client
-	eventUsage    eventKind = "usage"    // CONTAINER: a usage report, perhaps a late one
+	eventFull     eventKind = "full"     // CONTAINER: its attempt ends with OutcomeFull
+	eventTimeout  eventKind = "timeout"  // CONTAINER: its attempt times out
+	eventReset    eventKind = "reset"    // CONTAINER: its attempt ends with OutcomeLost
+	eventErrored  eventKind = "errored"  // CONTAINER: its attempt ends with OutcomeErrored
+	eventUnsent   eventKind = "unsent"   // CONTAINER: its attempt ends with OutcomeNotSent
+	eventFinished eventKind = "finished" // CONTAINER: it runs, and finishes
+	eventLost     eventKind = "lost"     // CONTAINER: it runs, and is lost
+	eventStopped  eventKind = "stopped"  // CONTAINER: it is stopped, as its accept crossed the cancel of the attempt
+	eventCancel   eventKind = "cancel"   // CONTAINER: its client cancels it
+	eventUsage    eventKind = "usage"    // CONTAINER: a usage report, possibly a late one
 	eventAdopt    eventKind = "adopt"    // MACHINE: another container is found running there
 	eventProbed   eventKind = "probed"   // MACHINE: it answers the first scheduler's probe
-	eventDrain    eventKind = "drain"    // MACHINE
-	eventLeave    eventKind = "leave"    // MACHINE
-	eventBack     eventKind = "back"     // MACHINE
-	eventRestart  eventKind = "restart"  // [late] MACHINE: "late" has it seen only in the next list
-	eventList     eventKind = "list"     // a full snapshot
-	eventFailed   eventKind = "failed"   // the list cannot be reached
-	eventWait     eventKind = "wait"     // time goes by
-	eventCrash    eventKind = "crash"    // the first scheduler restarts with its snapshot
-	eventForget   eventKind = "forget"   // the first scheduler restarts without it
+	eventDrain    eventKind = "drain"    // MACHINE: it begins to drain
+	eventLeave    eventKind = "leave"    // MACHINE: it is gone
+	eventBack     eventKind = "back"     // MACHINE: it serves again
+	eventRestart  eventKind = "restart"  // [late] MACHINE: it restarts; with "late" only a later list shows it
+	eventList     eventKind = "list"     // a full snapshot of the machine list arrives
+	eventFailed   eventKind = "failed"   // the machine list is unreachable
+	eventWait     eventKind = "wait"     // one second passes
+	eventCrash    eventKind = "crash"    // the first scheduler restarts and restores its snapshot
+	eventForget   eventKind = "forget"   // the first scheduler restarts without its snapshot
 )
 
 const (
 	sequenceSeparator = ", "
-	batchPrefix       = "+" // the event comes in one batch with the next
+	batchPrefix       = "+" // the event is delivered in one batch with the next
 	lateWord          = "late"
 )
 
-var outcomes = map[eventKind]scheduler.Outcome{
+var outcomeByEvent = map[eventKind]scheduler.Outcome{
 	eventFull:     scheduler.OutcomeFull,
 	eventTimeout:  scheduler.OutcomeTimedOut,
 	eventReset:    scheduler.OutcomeLost,
@@ -56,7 +57,7 @@
 // event is one event of a sequence.
 type event struct {
 	kind      eventKind
-	container scheduler.ContainerID // what it happens to, as the kind asks for
+	container scheduler.ContainerID // the target, as a container or a machine by the kind
 	machine   scheduler.MachineID
 	late      bool
 	batched   bool
@@ -75,7 +76,7 @@
 	}
 }
 
-// mayBeBatched is false for events that no scheduler is given.
+// mayBeBatched reports whether the event is delivered to a scheduler and can thus be part of a batch.
 func (e event) mayBeBatched() bool {
 	return e.kind != eventWait && e.kind != eventCrash && e.kind != eventForget
 }
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -9,8 +9,9 @@
 	"glenport/scheduler"
 )
 
-// tiny has machines a and b in one zone and c in another, and a workload class of each idempotency and of spread.
-func tiny() World {
+// tinyWorld returns a world with machines a and b in one zone and c in another. It has workload classes of each
+// idempotency, one of them with a spread limit.
+func tinyWorld() World {
 	w := World{
 		Schedulers:   1,
 		DrainGrace:   250 * scheduler.Millisecond,
@@ -70,9 +71,9 @@
 	return w
 }
 
-// pair has two schedulers and one machine.
-func pair() World {
-	w := tiny()
+// twoSchedulerWorld returns a world with two schedulers and one machine.
+func twoSchedulerWorld() World {
+	w := tinyWorld()
 	w.Schedulers, w.Machines = 2, []scheduler.MachineEntry{w.Machines[0]}
 	return w
 }
@@ -82,26 +83,26 @@
 	depth int
 	world World
 }{
-	{"outcomes of each idempotency, and machine lists", 5, tiny().withRequests(2, 1, 0).withEvents(
+	{"outcomes of each idempotency, and machine lists", 5, tinyWorld().withRequests(2, 1, 0).withEvents(
 		"request, accept x, timeout x, full x, timeout y, errored y, timeout z, " +
 			"drain a, leave b, back b, list, usage x")},
-	{"idempotent with a key, its machine leaves and comes back", 5, tiny().withRequests(1).withEvents(
+	{"idempotent with a key, its machine leaves and comes back", 5, tinyWorld().withRequests(1).withEvents(
 		"request, timeout x, full x, unsent x, stopped x, accept x, leave a, back a, leave b, restart b, wait, list")},
-	{"machine list changes during attempts", 5, tiny().withRequests(0, 2).withEvents(
+	{"machine list changes during attempts", 5, tinyWorld().withRequests(0, 2).withEvents(
 		"request, full x, timeout y, drain a, drain b, back a, leave c, back c, list, failed, wait")},
-	{"cancelled, stopped and lost", 6, tiny().withRequests(4, 2).withEvents(
+	{"cancelled, stopped and lost", 6, tinyWorld().withRequests(4, 2).withEvents(
 		"request, accept x, stopped x, cancel x, lost x, reset y, cancel y, unsent y, usage x, wait")},
-	{"slow-start budget of two schedulers", 7, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+	{"slow-start budget of two schedulers", 7, twoSchedulerWorld().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
 		"request, full x, restart a, leave a, back a")},
-	{"slow start, listed late", 7, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+	{"slow start, listed late", 7, twoSchedulerWorld().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
 		"request, restart late a, list, timeout x, full z, probed a, wait")},
-	{"slow start, and the scheduler restarts", 6, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+	{"slow start, and the scheduler restarts", 6, twoSchedulerWorld().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
 		"request, restart a, crash, forget, full x, wait")},
-	{"spread, and adopted containers", 4, tiny().withRequests(3, 3, 3).withBatches().withEvents(
+	{"spread, and adopted containers", 4, tinyWorld().withRequests(3, 3, 3).withBatches().withEvents(
 		"request, adopt a, adopt c, accept x, full x, full y, cancel x, lost x, leave a, back a")},
 }
 
-// All rules hold after each event of every order.
+// All rules hold after each event of every sequence.
 func TestEveryOrderKeepsAllRules(t *testing.T) {
 	t.Parallel()
 	for _, tc := range worlds {
@@ -115,14 +116,15 @@
 	}
 }
 
-// The checker sees each rule broken, and the sequence that it returns breaks the rule again when it is replayed.
-func TestCheckerSeesEachRuleBroken(t *testing.T) {
+// The checker reports a violation for the mutant of each rule, and the sequence that it returns breaks the rule again
+// when it is replayed.
+func TestCheckerDetectsEachMutant(t *testing.T) {
 	for rule, world := range []World{
-		tiny().withRequests(0).withEvents("request, timeout x, full x, wait"),
-		tiny().withRequests(2).withEvents("request, timeout x, full x, accept x"),
-		tiny().withRequests(0, 0, 0).withEvents("request, drain a, drain b, drain c, wait"),
-		pair().withRequests(0, 0, 0, 0).withEvents("restart a, request"),
-		tiny().withRequests(3, 3).withEvents("adopt a, adopt c, request"),
+		tinyWorld().withRequests(0).withEvents("request, timeout x, full x, wait"),
+		tinyWorld().withRequests(2).withEvents("request, timeout x, full x, accept x"),
+		tinyWorld().withRequests(0, 0, 0).withEvents("request, drain a, drain b, drain c, wait"),
+		twoSchedulerWorld().withRequests(0, 0, 0, 0).withEvents("restart a, request"),
+		tinyWorld().withRequests(3, 3).withEvents("adopt a, adopt c, request"),
 	} {
 		t.Run(fmt.Sprint("rule ", rule+1), func(t *testing.T) {
 			world.NewScheduler = func(t scheduler.Config) Decider { return Mutant{scheduler.New(t), rule + 1} }
@@ -131,7 +133,7 @@
 			testutil.Require(t, len(r.Violations) != 0 && strings.HasPrefix(r.Violations[0], want),
 				"after %q: %q", r.FailingSequence, r.Violations)
 			if again := Replay(world, r.FailingSequence); len(again) == 0 || again[0] != r.Violations[0] {
-				t.Errorf("%q breaks %q when it is replayed", r.FailingSequence, again)
+				t.Errorf("replay of %q reports %q", r.FailingSequence, again)
 			}
 		})
 	}
--- a/internal/testbed/modelcheck/mutant.go
+++ b/internal/testbed/modelcheck/mutant.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// Mutant withholds something from a scheduler, so that it breaks one rule: a checker that does not see it checks
-// nothing.
+// Mutant withholds or changes events or actions of a scheduler so that it breaks one rule. The tests use it to show
+// that the checker detects a violation of each rule.
 type Mutant struct {
 	Decider
 	Rule int // an audit.Rule
@@ -16,7 +16,7 @@
 
 func (m Mutant) breaks(rule audit.Rule) bool { return audit.Rule(m.Rule) == rule }
 
-// Handle changes the events of the scheduler, and drops its rejections for the first rule.
+// Handle changes the events of the scheduler. To break the first rule it drops the scheduler's rejections.
 func (m Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	var kept []scheduler.Event
 	for _, event := range events {
@@ -26,7 +26,7 @@
 		case scheduler.AttemptEnded:
 			kept = append(kept, m.mutateOutcome(event))
 		case scheduler.ContainerAdopted:
-			if !m.breaks(audit.RuleSpread) { // else what runs is forgotten
+			if !m.breaks(audit.RuleSpread) { // without the event the scheduler does not count the container
 				kept = append(kept, event)
 			}
 		default:
@@ -43,7 +43,7 @@
 	return actions
 }
 
-// mutateList hides drains, or the starts of machines. It changes a copy, as the checker reads the true entries.
+// mutateList hides drains or the starts of machines. It changes a copy, as the checker needs the true entries.
 func (m Mutant) mutateList(update scheduler.MachineListUpdate) scheduler.MachineListUpdate {
 	update.Entries = slices.Clone(update.Entries)
 	for i := range update.Entries {
@@ -57,7 +57,7 @@
 	return update
 }
 
-// mutateOutcome takes an attempt that may run for one that was refused.
+// mutateOutcome reports an attempt whose container may run as one that the machine rejected.
 func (m Mutant) mutateOutcome(ended scheduler.AttemptEnded) scheduler.AttemptEnded {
 	mayRun := ended.Outcome == scheduler.OutcomeTimedOut || ended.Outcome == scheduler.OutcomeErrored
 	if m.breaks(audit.RuleDuplicateRun) && mayRun {
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -7,7 +7,7 @@
 	"glenport/scheduler"
 )
 
-// ObserveAction takes an action of a scheduler and checks the rules on it.
+// ObserveAction updates the state by an action of a scheduler and checks the rules on it.
 func (c *Checker) ObserveAction(index int, now scheduler.Time, action scheduler.Action) {
 	in := c.incarnations[index]
 	switch action := action.(type) {
@@ -18,26 +18,26 @@
 	case scheduler.Reject:
 		c.checkReject(in, action.ID)
 	case scheduler.Fail:
-		c.takeReply(in, action.ID)
+		c.recordReply(in, action.ID)
 	}
 }
 
-// CheckDeadlines checks what time alone breaks: replies that are owed.
+// CheckDeadlines checks that no reply is overdue.
 func (c *Checker) CheckDeadlines(now scheduler.Time) {
 	for _, in := range c.incarnations {
 		for id, container := range in.containers {
 			if !container.replied && now > container.request.Deadline+c.config.AnswerGrace {
 				late := (now - container.request.Deadline) / scheduler.Millisecond
-				c.violate(audit.RuleFinalReply, "%s has no reply %d ms after its deadline", id, late)
+				c.violate(audit.RuleFinalReply, "%s has no reply %d ms after the deadline", id, late)
 				container.replied = true
 			}
 		}
 	}
 }
 
-// checkReject checks a final reply that promises that the container does not run.
+// checkReject checks a rejection. It promises that the container does not run, unless it may run again anywhere.
 func (c *Checker) checkReject(in *incarnation, id scheduler.ContainerID) {
-	container, owed := c.takeReply(in, id)
+	container, owed := c.recordReply(in, id)
 	if !owed {
 		return
 	}
@@ -49,16 +49,16 @@
 	}
 	for _, attempt := range container.attempts {
 		if attempt.outstanding || attempt.mayRun {
-			c.violate(audit.RuleDuplicateRun, "%s is rejected, and may run on %s", id, attempt.machine)
+			c.violate(audit.RuleDuplicateRun, "%s is rejected but may run on %s", id, attempt.machine)
 		}
 	}
 }
 
-// takeReply checks that a final reply is owed, which it then is no longer.
-func (c *Checker) takeReply(in *incarnation, id scheduler.ContainerID) (found *container, owed bool) {
+// recordReply checks that a final reply is due, and records it.
+func (c *Checker) recordReply(in *incarnation, id scheduler.ContainerID) (found *container, owed bool) {
 	found = in.containers[id]
 	if found == nil || found.replied {
-		c.violate(audit.RuleFinalReply, "%s gets a reply and is owed none", id)
+		c.violate(audit.RuleFinalReply, "%s gets a reply but none is due", id)
 		return nil, false
 	}
 	found.replied, found.settled = true, true
@@ -68,16 +68,16 @@
 func (c *Checker) checkAttempt(in *incarnation, now scheduler.Time, start scheduler.StartAttempt) {
 	container, m := in.containers[start.ID], in.machines[start.Machine]
 	if container == nil || container.replied || container.settled {
-		c.violate(audit.RuleFinalReply, "%s is offered to %s, and is settled", start.ID, start.Machine)
+		c.violate(audit.RuleFinalReply, "%s is offered to %s after its final reply", start.ID, start.Machine)
 		return
 	}
 	if m == nil {
-		c.violate(audit.RuleDraining, "%s is offered to %s, which is in no list", start.ID, start.Machine)
+		c.violate(audit.RuleDraining, "%s is offered to %s, which no machine list names", start.ID, start.Machine)
 		return
 	}
 	c.attemptsChecked++
 	if m.unavailableSince > 0 && now > m.unavailableSince+c.drainGrace {
-		c.violate(audit.RuleDraining, "%s is offered to %s, seen %d ms ago to drain or to be gone",
+		c.violate(audit.RuleDraining, "%s is offered to %s, known for %d ms to be draining or gone",
 			start.ID, start.Machine, (now-m.unavailableSince)/scheduler.Millisecond)
 	}
 	next := &attempt{machine: start.Machine, sentAt: now, outstanding: true}
@@ -90,7 +90,7 @@
 
 // checkIdempotency checks an attempt against the earlier ones of its container.
 func (c *Checker) checkIdempotency(id scheduler.ContainerID, container *container, next *attempt) {
-	var first *attempt // that may have run
+	var first *attempt // the first that may have run
 	for _, earlier := range container.attempts {
 		if earlier.machine == next.machine {
 			c.Violations = append(c.Violations, fmt.Sprintf("placement: %s is offered to %s again", id, next.machine))
@@ -107,15 +107,16 @@
 	switch {
 	case first == nil || class.Idempotency == scheduler.Idempotent:
 	case class.Idempotency == scheduler.AtMostOnce:
-		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, and may have run on %s",
+		c.violate(audit.RuleDuplicateRun, "%s is offered to %s but may have run on %s",
 			id, next.machine, first.machine)
 	case !next.sharesScope(first, class.DedupScope) || next.sentAt >= first.sentAt+class.DedupWindow:
-		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, outside the group or window of %s",
+		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, outside the deduplication scope or window of %s",
 			id, next.machine, first.machine)
 	}
 }
 
-// checkSpread counts what the group of an attempt, which is recorded already, holds of its service.
+// checkSpread checks how many containers of a service are in the scope of a new attempt. The attempt is already among
+// those of its container.
 func (c *Checker) checkSpread(in *incarnation, id scheduler.ContainerID, container *container, next *attempt) {
 	class := c.config.WorkloadClasses[container.request.WorkloadClass]
 	if class.SpreadScope == scheduler.ScopeNone {
@@ -133,13 +134,14 @@
 		}
 	}
 	if count > class.MaxPerScope {
-		c.violate(audit.RuleSpread, "%s is offered to %s: %d of %s there, %d may be",
+		c.violate(audit.RuleSpread, "%s is offered to %s: %d of service %s in its scope, limit %d",
 			id, next.machine, count, service, class.MaxPerScope)
 	}
 }
 
-// checkSlowStart counts a send, and checks it against what its sender knows: a sender is charged with all that it sent
-// since the start that it has seen, and for what others sent since they saw it.
+// checkSlowStart records an offer or a probe, and checks it against the slow-start budget if the sender knows of the
+// machine's start. All that the sender has sent since the start counts, and of the other schedulers' sends those that
+// they made while they knew of the slow start.
 func (c *Checker) checkSlowStart(in *incarnation, id scheduler.MachineID, now scheduler.Time) {
 	m := in.machines[id]
 	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+c.config.SlowStartPeriod
@@ -157,7 +159,7 @@
 		}
 	}
 	if count > c.config.SlowStartBudget {
-		c.violate(audit.RuleSlowStart, "%s in slow start gets %d in a window, and bears %d",
+		c.violate(audit.RuleSlowStart, "%s in slow start gets %d offers and probes in a window, budget %d",
 			id, count, c.config.SlowStartBudget)
 	}
 }
--- a/internal/testbed/modelcheck/simulation.go
+++ b/internal/testbed/modelcheck/simulation.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	startOfTime    = 100 * scheduler.Second
-	waitDuration   = scheduler.Second // of the event "wait"
+	startTime      = 100 * scheduler.Second
+	waitDuration   = scheduler.Second // duration of the event "wait"
 	probeTimeout   = scheduler.Second
-	probeTimerName = "probe " // before the machine, as the name of a timer
+	probeTimerName = "probe " // prefix of a probe timer's name; the machine follows
 )
 
-// simulation is one sequence of events in a world.
+// simulation plays one sequence of events in a world.
 type simulation struct {
 	World
 
@@ -23,11 +23,11 @@
 	checker     *Checker
 	schedulers  []Decider
 	timers      [][]timer                                       // by scheduler
-	machines    map[scheduler.MachineID]*scheduler.MachineEntry // as they are; schedulers see them by the list
-	placements  map[scheduler.ContainerID]*placement            // what is offered or runs
-	probes      []map[scheduler.MachineID]scheduler.Time        // by scheduler: when those outstanding time out
+	machines    map[scheduler.MachineID]*scheduler.MachineEntry // true states; schedulers learn them by the list
+	placements  map[scheduler.ContainerID]*placement            // containers that are offered or run
+	probes      []map[scheduler.MachineID]scheduler.Time        // by scheduler: timeouts of outstanding probes
 	version     int64                                           // of the machine list
-	batched     []scheduler.Event                               // waits for the next event of its batch
+	batched     []scheduler.Event                               // held back for the next event of their batch
 	nextRequest int
 }
 
@@ -36,7 +36,7 @@
 	name string
 }
 
-// placement is a container's outstanding attempt, or where it runs.
+// placement is the outstanding attempt of a container, or the machine on which it runs.
 type placement struct {
 	scheduler int
 	machine   scheduler.MachineID
@@ -47,17 +47,17 @@
 func newSimulation(world World) *simulation {
 	s := &simulation{
 		World:      world,
-		now:        startOfTime,
+		now:        startTime,
 		checker:    NewChecker(world.Config, world.Schedulers, world.DrainGrace),
 		timers:     make([][]timer, world.Schedulers),
 		machines:   map[scheduler.MachineID]*scheduler.MachineEntry{},
 		placements: map[scheduler.ContainerID]*placement{},
 	}
-	s.begin()
+	s.start()
 	return s
 }
 
-// playPath follows one path of choices, and returns how many there were at each turn.
+// playPath plays the events chosen by a path, and returns how many events were possible at each step.
 func (s *simulation) playPath(path []int) (widths []int, played, violations []string) {
 	for _, choice := range path {
 		possible := s.possibleEvents()
@@ -75,8 +75,8 @@
 	return widths, played, s.checker.Violations
 }
 
-// begin has the schedulers start and learn the machine list.
-func (s *simulation) begin() {
+// start starts the schedulers with the restored machine list.
+func (s *simulation) start() {
 	for _, entry := range s.Machines {
 		s.machines[entry.Machine] = &entry
 	}
@@ -87,10 +87,11 @@
 		s.probes = append(s.probes, map[scheduler.MachineID]scheduler.Time{})
 		s.handle(i, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: s.entries()})
 	}
-	s.advance(s.Config.SlowStartWindow + s.Config.SlowStartWindow/4) // so that they may send to machines in slow start
+	s.advance(s.Config.SlowStartWindow + s.Config.SlowStartWindow/4) // they may then send to machines in slow start
 }
 
-// finish runs past every deadline without any further outcome, and then gives those that are owed.
+// finish advances past every deadline without any further outcome, and then delivers a timeout for each outstanding
+// attempt.
 func (s *simulation) finish() {
 	longest := scheduler.Time(0)
 	for _, request := range s.Requests {
@@ -110,7 +111,7 @@
 	s.checker.CheckDeadlines(s.now)
 }
 
-// entries lists the machines that are not gone.
+// entries returns the machine-list entries of the machines that are not gone.
 func (s *simulation) entries() []scheduler.MachineEntry {
 	var all []scheduler.MachineEntry
 	for _, entry := range s.Machines {
@@ -121,8 +122,8 @@
 	return all
 }
 
-// deliver gives a scheduler what an event is to it, with what waits for that; where the event is batched, it waits for
-// the next one.
+// deliver gives a scheduler the event that results from an event of the sequence, together with the batched events. An
+// event that is batched itself is held back for the next one.
 func (s *simulation) deliver(e event, index int, given scheduler.Event) {
 	if e.batched && s.Schedulers == 1 {
 		s.batched = append(s.batched, given)
@@ -133,18 +134,18 @@
 	s.handle(index, events...)
 }
 
-// handle gives events to the checker and to a scheduler, and carries out its actions.
+// handle gives events to the checker and to a scheduler, and executes the scheduler's actions.
 func (s *simulation) handle(index int, events ...scheduler.Event) {
 	for _, event := range events {
 		s.checker.ObserveEvent(index, s.now, event)
 	}
 	for _, action := range s.schedulers[index].Handle(s.now, events) {
 		s.checker.ObserveAction(index, s.now, action)
-		s.carryOut(index, action)
+		s.execute(index, action)
 	}
 }
 
-func (s *simulation) carryOut(index int, action scheduler.Action) {
+func (s *simulation) execute(index int, action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.StartAttempt:
 		placed := &placement{scheduler: index, machine: action.Machine}
@@ -161,10 +162,10 @@
 	}
 }
 
-// advance lets time go by: timers fire, and the replies that are owed by then are checked. Outcomes come only as
-// events.
+// advance moves the clock: timers fire, and overdue replies are detected. Attempts get outcomes only by events of the
+// sequence.
 func (s *simulation) advance(span scheduler.Time) {
-	if len(s.batched) > 0 && span > Step { // a batch is not held up for so long
+	if len(s.batched) > 0 && span > Step { // a batch is not delayed by more than a step
 		events := s.batched
 		s.batched = nil
 		s.handle(0, events...)
@@ -182,7 +183,7 @@
 	s.checker.CheckDeadlines(s.now)
 }
 
-// takeTimer removes the first timer up to a time, of whichever scheduler.
+// takeTimer removes and returns the earliest timer of any scheduler that is due by a time.
 func (s *simulation) takeTimer(until scheduler.Time) (index int, first timer, ok bool) {
 	position := 0
 	for i, timers := range s.timers {
@@ -198,7 +199,7 @@
 	return index, first, ok
 }
 
-// fire fires a scheduler's timer, or the timeout of a probe that is still outstanding.
+// fire delivers a timer to a scheduler, or the timeout of a probe that is still outstanding.
 func (s *simulation) fire(index int, t timer) {
 	name, isProbe := strings.CutPrefix(t.name, probeTimerName)
 	if !isProbe {
@@ -212,7 +213,7 @@
 	}
 }
 
-// newContainerID names a container that no client of this world has submitted.
+// newContainerID returns the ID of a container that no client of this world has submitted.
 func (s *simulation) newContainerID() scheduler.ContainerID {
 	return scheduler.ContainerID(fmt.Sprint("o", s.now))
 }
--- a/internal/testbed/modelcheck/simulation_events.go
+++ b/internal/testbed/modelcheck/simulation_events.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// possibleEvents are those of World.Events that can happen now.
+// possibleEvents returns the events of World.Events that can happen now.
 func (s *simulation) possibleEvents() []string {
 	var possible []string
 	for _, word := range s.Events {
@@ -47,20 +47,20 @@
 	case eventBack:
 		return s.machines[e.machine].State != scheduler.MachineServing
 	default:
-		return true // the others can happen at any time
+		return true // the other events can happen at any time
 	}
 }
 
-// apply has an event happen, a step later than the one before.
+// apply plays an event, one step later than the one before.
 func (s *simulation) apply(e event) {
 	s.advance(Step)
 	switch e.kind {
 	case eventRequest:
-		s.request(e)
+		s.submitRequest(e)
 	case eventAdopt:
-		s.adopt(e)
+		s.adoptContainer(e)
 	case eventAccept:
-		s.accept(e)
+		s.acceptAttempt(e)
 	case eventFull, eventTimeout, eventReset, eventErrored, eventUnsent, eventFinished, eventLost, eventStopped:
 		s.endAttempt(e)
 	case eventCancel:
@@ -83,19 +83,19 @@
 	case eventCrash, eventForget:
 		s.restartScheduler(e)
 	default:
-		panic("no event " + string(e.kind))
+		panic("unknown event " + string(e.kind))
 	}
 }
 
-func (s *simulation) request(e event) {
+func (s *simulation) submitRequest(e event) {
 	request := s.Requests[s.nextRequest]
 	request.Deadline += s.now
 	s.deliver(e, s.nextRequest%s.Schedulers, scheduler.RequestReceived{PlacementRequest: request})
 	s.nextRequest++
 }
 
-// adopt gives the first scheduler a container that was found running on a machine.
-func (s *simulation) adopt(e event) {
+// adoptContainer has the first scheduler adopt a container that was found running on a machine.
+func (s *simulation) adoptContainer(e event) {
 	like := s.Requests[0]
 	found := scheduler.PlacementRequest{
 		ID: s.newContainerID(), Service: like.Service, WorkloadClass: like.WorkloadClass,
@@ -104,7 +104,7 @@
 	s.deliver(e, 0, scheduler.ContainerAdopted{PlacementRequest: found, Machine: e.machine})
 }
 
-func (s *simulation) accept(e event) {
+func (s *simulation) acceptAttempt(e event) {
 	placed := s.placements[e.container]
 	if placed == nil {
 		return
@@ -120,7 +120,7 @@
 	}
 	delete(s.placements, e.container)
 	s.deliver(e, placed.scheduler, scheduler.AttemptEnded{
-		ID: e.container, Outcome: outcomes[e.kind], Machine: placed.machine,
+		ID: e.container, Outcome: outcomeByEvent[e.kind], Machine: placed.machine,
 		Final: e.kind == eventFinished || e.kind == eventLost,
 	})
 }
@@ -137,7 +137,7 @@
 	case eventRestart:
 		entry.State, entry.StartedAt = scheduler.MachineServing, s.now
 	default:
-		panic("no change of a machine: " + string(e.kind))
+		panic("not a change of a machine: " + string(e.kind))
 	}
 	if !e.late {
 		s.sendList(e, scheduler.DeltaUpdate, *entry)
@@ -152,8 +152,8 @@
 	}
 }
 
-// restartScheduler ends the first scheduler and starts its next incarnation; after a crash that has the snapshot of the
-// one before. It adopts what runs; what was only offered is cancelled.
+// restartScheduler replaces the first scheduler by its next incarnation, which restores the snapshot of the one before
+// after a crash. It adopts the running containers; attempts without an accept are cancelled.
 func (s *simulation) restartScheduler(e event) {
 	config := s.Config
 	config.SchedulerCount = s.Schedulers
@@ -174,7 +174,7 @@
 	}
 }
 
-// placementsOf lists the containers of a scheduler in order.
+// placementsOf returns the containers that a scheduler has offered or runs, sorted by ID.
 func (s *simulation) placementsOf(index int) []scheduler.ContainerID {
 	var ids []scheduler.ContainerID
 	for id, placed := range s.placements {
@@ -186,15 +186,15 @@
 	return ids
 }
 
-// persistent is a Decider that has a snapshot; a mutant has none.
-type persistent interface {
+// snapshotter is implemented by a Decider that can save and restore its state. A mutant cannot.
+type snapshotter interface {
 	Snapshot() scheduler.Snapshot
 	Restore(snapshot scheduler.Snapshot)
 }
 
 func restoreSnapshot(before, after Decider) {
-	source, hasSnapshot := before.(persistent)
-	if target, restores := after.(persistent); hasSnapshot && restores {
+	source, hasSnapshot := before.(snapshotter)
+	if target, restores := after.(snapshotter); hasSnapshot && restores {
 		target.Restore(source.Snapshot())
 	}
 }
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -11,7 +11,7 @@
 	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
-// Step is how far the clock goes with each event.
+// Step is how far each event advances the clock.
 const Step = 20 * scheduler.Millisecond
 
 // World describes a tiny fleet with its schedulers.
@@ -20,16 +20,16 @@
 	Schedulers   int
 	DrainGrace   scheduler.Time
 	Machines     []scheduler.MachineEntry
-	Requests     []scheduler.PlacementRequest // their Deadline counts from the request
-	Events       []string                     // the events to put in order, in the words of the eventKind constants
-	Batches      bool                         // two events may also come in one batch
+	Requests     []scheduler.PlacementRequest // each Deadline is relative to the arrival of the request
+	Events       []string                     // the events to order, written as the eventKind constants describe
+	Batches      bool                         // two events may also be delivered in one batch
 	NewScheduler func(config scheduler.Config) Decider
 }
 
-// Result is what came of all sequences.
+// Result is the result of playing all sequences.
 type Result struct {
 	Sequences, Events, Attempts int
-	FailingSequence             string   // the first sequence that breaks a rule, as Replay takes it
+	FailingSequence             string   // the first sequence that breaks a rule, in the format of Replay
 	Violations                  []string // of that sequence
 }
 
@@ -50,8 +50,8 @@
 	return result
 }
 
-// EnumeratePaths has every path of up to depth choices played, until play returns false. play also returns how many
-// choices there were at each turn.
+// EnumeratePaths calls play for every path of up to depth choices, until play returns false. play also returns how many
+// choices there were at each step.
 func EnumeratePaths(depth int, play func(path []int) (widths []int, goOn bool)) {
 	path := make([]int, depth)
 	for {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Replay plays one sequence as Run returned it, and returns its violations.
+// Replay plays one sequence in the format of Result.FailingSequence, and returns its violations.
 func Replay(world World, sequence string) []string {
 	s := newSimulation(world)
 	for word := range strings.SplitSeq(sequence, sequenceSeparator) {
