--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -1,5 +1,5 @@
-// Package crashcheck looks at every state in which a crash may leave the log of package wal, on a file system in
-// memory.
+// Package crashcheck checks the recovery of the log of package wal from the states that a crash may leave behind, on a
+// file system in memory.
 package crashcheck
 
 import (
@@ -14,41 +14,41 @@
 	"glenport/internal/storage/wal"
 )
 
-// The sabotages of the log, which a Check is to see.
+// The sabotages of the log. A Check must detect each of them.
 const (
 	SabotageSync     = "sync"     // the log does not sync
-	SabotageChecksum = "checksum" // the log does not check what it reads
+	SabotageChecksum = "checksum" // the log does not verify checksums when it reads
 )
 
-// Check plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
-// the recovery from a crash, may leave it.
+// Check plays a history of commits on a folder in memory. It then recovers from a crash after every operation of the
+// history, and from a second crash during recovery, and checks the recovered states.
 type Check struct {
 	Seed         uint64
 	Commits      int
-	RandomStates int    // states drawn at each operation, beside all lost and all kept
+	RandomStates int    // random states per operation, beside those with all unsynced data lost and all kept
 	Sabotage     string // SabotageSync, SabotageChecksum or none
 
-	Operations    int // of the history on the file system
-	States        int // left by one crash and recovered
-	SecondCrashes int // of recoveries
+	Operations    int // file-system operations of the history
+	States        int // states recovered after one crash
+	SecondCrashes int // states recovered after a crash of the recovery
 	BitFlips      int
-	Refused       int // bit flips that recovery refused
+	Refused       int // bit flips that recovery detected
 }
 
 // commitPoint is one commit of the history.
 type commitPoint struct {
-	state          string // encoded
-	firstOperation int    // operations before it
-	lastOperation  int    // operations when it was acknowledged
+	state          string // encoded state after the commit
+	firstOperation int    // number of operations before the commit
+	lastOperation  int    // number of operations when the commit was acknowledged
 	durable        bool
 }
 
-// model is what a log holds after some commits, by kind and key.
+// model is the state that a log must hold after some commits, by kind and key.
 type model map[string]string
 
-// history commits random changes and returns what must be found after each. Every commit changes the value of "n", so
-// that states differ.
-func (c *Check) history(fs *faultfs.FS) ([]commitPoint, error) {
+// commitHistory commits random changes and returns the expected state after each commit. Every commit changes the value
+// of "n", so that all states differ.
+func (c *Check) commitHistory(fs *faultfs.FS) ([]commitPoint, error) {
 	log, _, err := wal.Open(fs, wal.Options{MinSnapshotLog: 2000})
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 func encodeState(s *wal.State) string {
 	held := model{}
 	for _, kind := range s.Kinds() {
-		_ = s.ForEach(kind, func(key string, value []byte) error { // only the callback, which does not fail, may fail
+		_ = s.ForEach(kind, func(key string, value []byte) error { // fails only if the callback does, which it does not
 			held[kind+"/"+key] = string(value)
 			return nil
 		})
@@ -117,7 +117,7 @@
 	return held.encode()
 }
 
-// recoverState recovers a folder and returns what it holds.
+// recoverState recovers the log of a folder and returns its encoded state.
 func (c *Check) recoverState(d *faultfs.FS) (string, error) {
 	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
 	if err != nil {
@@ -127,7 +127,7 @@
 	return held, s.Close()
 }
 
-// Add adds another check's counts.
+// Add adds the counts of another check.
 func (c *Check) Add(other *Check) {
 	c.Operations += other.Operations
 	c.States += other.States
@@ -138,49 +138,50 @@
 
 // crashPoint is a crash after one of the operations of a history.
 type crashPoint struct {
-	after   int // operations
-	commits []commitPoint
-	floor   int // the last commit that must be found
-	ceiling int // the last commit that may be found
+	after     int // number of operations before the crash
+	commits   []commitPoint
+	minCommit int // the last commit that recovery must find
+	maxCommit int // the last commit that recovery may find
 }
 
 func newCrashPoint(after int, commits []commitPoint) crashPoint {
 	point := crashPoint{after: after, commits: commits}
 	for i, m := range commits {
 		if i > 0 && m.lastOperation <= after && m.durable {
-			point.floor = i
+			point.minCommit = i
 		}
 		if i > 0 && m.firstOperation < after {
-			point.ceiling = i
+			point.maxCommit = i
 		}
 	}
 	return point
 }
 
-// Run returns the first violation found, or nil.
+// Run makes the check and returns the first violation, or nil.
 func (c *Check) Run() error {
 	d := faultfs.New()
 	d.IgnoreSync = c.Sabotage == SabotageSync
-	commits, err := c.history(d)
+	commits, err := c.commitHistory(d)
 	if err != nil {
 		return err
 	}
 	c.Operations = d.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
 	for after := 0; after <= c.Operations; after++ {
-		if err := c.checkPoint(d, newCrashPoint(after, commits), r); err != nil {
+		if err := c.checkCrashPoint(d, newCrashPoint(after, commits), r); err != nil {
 			return err
 		}
 	}
 	return c.flipBits(d, commits, r)
 }
 
-// secondCrashEach is the interval of operations at which every state is crashed a second time; at the others only the
-// last one is.
-const secondCrashEach = 7
+// secondCrashInterval is the interval of operations at which the recovery of every state is crashed; after the other
+// operations only the recovery of the last state is.
+const secondCrashInterval = 7
 
-// checkPoint recovers from the states that a crash may leave: all unsynced lost, all kept, and some drawn at random.
-func (c *Check) checkPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
+// checkCrashPoint recovers from the states that a crash may leave: all unsynced data lost, all of it kept, and random
+// states between.
+func (c *Check) checkCrashPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
 	survivals := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
 	for range c.RandomStates {
 		survivals = append(survivals, faultfs.KeepSome(r))
@@ -191,7 +192,7 @@
 		recovered, err := c.recoverState(crashed)
 		if err != nil {
 			return fmt.Errorf(
-				"crash after operation %d of %d, survival %d: not opened: %w",
+				"crash after operation %d of %d, survival %d: recovery failed: %w",
 				point.after,
 				c.Operations,
 				n,
@@ -202,7 +203,7 @@
 		if err := point.check(recovered); err != nil {
 			return fmt.Errorf("crash after operation %d of %d, survival %d: %w", point.after, c.Operations, n, err)
 		}
-		if n < len(survivals)-1 && point.after%secondCrashEach != 0 {
+		if n < len(survivals)-1 && point.after%secondCrashInterval != 0 {
 			continue
 		}
 		if err := c.crashRecovery(crashed, before, point, r); err != nil {
@@ -218,7 +219,7 @@
 		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
 		if err != nil {
 			return fmt.Errorf(
-				"crash after operation %d, and again after %d of its recovery: not opened: %w",
+				"crash after operation %d, and again after operation %d of the recovery: recovery failed: %w",
 				point.after,
 				again-before,
 				err,
@@ -227,7 +228,7 @@
 		c.SecondCrashes++
 		if err := point.check(recovered); err != nil {
 			return fmt.Errorf(
-				"crash after operation %d, and again after %d of its recovery: %w",
+				"crash after operation %d, and again after operation %d of the recovery: %w",
 				point.after,
 				again-before,
 				err,
@@ -237,9 +238,9 @@
 	return nil
 }
 
-// check reports a recovered state that the crash may not leave.
+// check returns an error if the recovered state is not one that the crash may leave.
 func (p crashPoint) check(recovered string) error {
-	for i := p.floor; i <= p.ceiling; i++ {
+	for i := p.minCommit; i <= p.maxCommit; i++ {
 		if p.commits[i].state == recovered {
 			return nil
 		}
@@ -247,18 +248,18 @@
 	for i := range p.commits {
 		if p.commits[i].state == recovered {
 			return fmt.Errorf(
-				"the state is that after commit %d; durable were all up to %d, begun %d",
+				"recovered the state after commit %d; commits up to %d were durable, commits up to %d begun",
 				i,
-				p.floor,
-				p.ceiling,
+				p.minCommit,
+				p.maxCommit,
 			)
 		}
 	}
-	return errors.New("the state is that after no commit")
+	return errors.New("recovered a state that no commit produced")
 }
 
-// flipBits turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
-// cannot be distinguished from a group that a crash cut off, and the state before it is found.
+// flipBits flips single bits in the files of a cleanly closed log. Recovery must detect each flip, except in the last
+// group: a damaged last group cannot be told from one that a crash truncated, and recovery returns the state before it.
 func (c *Check) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
 	names, err := d.List()
 	if err != nil {
@@ -283,7 +284,7 @@
 				c.Refused++
 			case held != commits[last].state && held != commits[last-1].state:
 				return fmt.Errorf(
-					"bit %d of %s flipped: recovered without an error, and what was committed is not there",
+					"bit %d of %s flipped: recovered without an error, but committed changes are missing",
 					bit,
 					name,
 				)
--- a/internal/testbed/crashcheck/crashcheck_test.go
+++ b/internal/testbed/crashcheck/crashcheck_test.go
@@ -6,8 +6,8 @@
 	"glenport/internal/testutil"
 )
 
-// The check finds a log that does not sync, and one that does not check what it reads.
-func TestCrashLeavesWhatWasCommitted(t *testing.T) {
+// The log passes the check. The check detects a log that does not sync, and one that does not verify checksums.
+func TestRecoveryAfterCrashKeepsCommits(t *testing.T) {
 	for _, tc := range []struct {
 		sabotage string
 		ok       bool
@@ -17,7 +17,7 @@
 			err := c.Run()
 			testutil.Expect(t, (err == nil) == tc.ok, "%v", err)
 			t.Logf(
-				"%d operations, %d states, %d of a second crash, %d of %d flips refused: %v",
+				"%d operations, %d states, %d after a second crash, %d of %d bit flips detected: %v",
 				c.Operations,
 				c.States,
 				c.SecondCrashes,
