--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -11,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Printf writes to a report. Its error is ignored: a trial's result is its exit status, and a reader that closed the
-// terminal must not end a measurement.
+// Printf writes to a report. It ignores write errors: the result of a trial is its exit status, and a closed terminal
+// must not end a measurement.
 func Printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
 
-// violationsPerRule is how many violations of a rule are printed.
+// violationsPerRule is how many violations of each rule are printed.
 const violationsPerRule = 3
 
-// Violations writes the first violations of each rule and, where there are any, the numbers of the rules.
+// Violations writes the first violations of each rule and, if there are any, a summary line with the broken rules.
 func Violations(out io.Writer, findings *audit.Report) {
 	byRule := map[audit.Rule]int{}
 	for _, violation := range findings.Violations {
@@ -40,14 +40,14 @@
 	Printf(out, "rules: broken:%s\n", summary.String())
 }
 
-// RecordingLag writes how late the recording was, and for how many entries that was decisive.
+// RecordingLag writes the largest lag of the recording, and for how many entries the lag decided that they are in time.
 func RecordingLag(out io.Writer, findings *audit.Report) {
-	Printf(out, "recording lag: %.1f ms at most; %d entries judged with a slack widened by their own, "+
-		"by %.1f ms at most\n",
+	Printf(out, "recording lag: at most %.1f ms; %d entries needed their own lag added to the slack, "+
+		"at most %.1f ms\n",
 		findings.LargestLag, findings.WidenedEntries, findings.WidenedLag)
 }
 
-// QuantileMS is a quantile, in milliseconds, of a histogram in microseconds.
+// QuantileMS returns a quantile, in milliseconds, of a histogram in microseconds.
 func QuantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
--- a/internal/testbed/scenario/aliases.go
+++ b/internal/testbed/scenario/aliases.go
@@ -5,7 +5,7 @@
 	"glenport/internal/testbed/faults"
 )
 
-// Aliases returns the old spellings that scenario files may have. It is the only table of them.
+// Aliases returns the old names of keys and values that scenario files may still use. There is no other table of them.
 func Aliases() strictyaml.Aliases { return strictyaml.Aliases{Keys: keyAliases, Values: kindAliases} }
 
 var keyAliases = []strictyaml.KeyAlias{
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -15,7 +15,8 @@
 	return s
 }
 
-// The scenario files of before the renaming stand byte for byte in testdata/legacy.
+// testdata/legacy holds unchanged copies of scenario files with the old key names. They still load, with deprecations,
+// and give the same scenarios as the current files.
 func TestOldScenarioFilesReadTheSame(t *testing.T) {
 	for _, name := range []string{"bad-day", "short", "storm", "why"} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +40,7 @@
 	return settings
 }
 
-// The long old file has every key that was renamed.
+// The file bad-day.yaml with the old names contains every renamed key, so each alias must be reported once.
 func TestEachOldKeyIsReadAndNamed(t *testing.T) {
 	deprecations := readScenario(t, "testdata/legacy/bad-day.yaml").Deprecations
 	for _, alias := range keyAliases {
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// checkRequired reports the first key that a section lacks.
+// checkRequired reports the first required key that is missing.
 func (f *scenarioFile) checkRequired(source *strictyaml.File) error {
 	type section struct {
 		path  string
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// scenario converts all but the workloads and faults, which refer to names from elsewhere.
+// scenario converts all sections but the workloads and faults, which refer to names defined elsewhere.
 func (f *scenarioFile) scenario(path string) *Scenario {
 	s := &Scenario{
 		Spec: cluster.Spec{
@@ -87,7 +87,7 @@
 			Template:   filepath.Join(filepath.Dir(path), f.Template.Value),
 			DrainGrace: scheduler.Time(f.DrainGrace.Ticks),
 			Slack:      scheduler.Time(f.Slack.Ticks),
-			Machine:    f.Machine.shape(),
+			Machine:    f.Machine.spec(),
 			List: cluster.ListTiming{
 				Lag:              duration(f.List.Lag),
 				FailureDetection: duration(f.List.FailureDetection),
@@ -110,7 +110,7 @@
 	return s
 }
 
-func (m *machineSection) shape() emulator.MachineSpec {
+func (m *machineSection) spec() emulator.MachineSpec {
 	return emulator.MachineSpec{
 		AdmissionTime:        duration(m.AdmissionTime),
 		MaxQueuedOffers:      m.MaxQueuedOffers.Value,
@@ -124,7 +124,7 @@
 	}
 }
 
-// workloads returns the load of each workload class, in the order of the scheduler's settings.
+// workloads returns the load of each workload class, in the order of the scheduler configuration.
 func (f *scenarioFile) workloads(
 	source *strictyaml.File,
 	settings *config.Scheduler,
@@ -136,7 +136,7 @@
 			return nil, err
 		}
 		if len(section.Cores) == 0 || len(section.Cores) != len(section.Memory) || section.Services.Value == 0 {
-			const message = "a workload needs services, and as many memories as cores"
+			const message = "a workload needs services, and as many values of memory as of cores"
 			return nil, source.ErrorAt(section.Class.Position, message)
 		}
 		workloads[class] = section.profile(settings.Policy.WorkloadClasses[class])
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testbed/report"
 )
 
-// simulatedDay is what a replay takes of a simulated day: its length, its fleet and its faults.
+// simulatedDay is the part of a simulated day that a replay uses: its length, its fleet and its faults.
 type simulatedDay struct {
 	Site       string            `json:"site"`
 	Length     int64             `json:"length"` // microseconds
@@ -38,9 +38,9 @@
 	Stop  []int `json:"stop"`
 }
 
-// LoadReplay makes a scenario of the faults of a simulated day: the same kinds at the same times and for as long, on
-// the same parts of the fleet, with the cluster of a scenario file and a load that one machine bears. What has no
-// counterpart is named and left out.
+// LoadReplay returns a scenario with the faults of a simulated day: the same kinds at the same times, of the same
+// duration and on the same fractions of the fleet. The cluster is that of a scenario file, and the rate is one that a
+// single machine can handle. Faults without a counterpart are left out and written to out.
 func LoadReplay(path, scenarioPath string, rate float64, out io.Writer) (*Scenario, error) {
 	day, err := readSimulatedDay(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 		fault, ok := day.counterpart(simulated)
 		kind, at := simulated.Kind, fault.At.Seconds()
 		if !ok {
-			report.Printf(out, "left out: %s at %.1f s has no counterpart on sockets\n", kind, at)
+			report.Printf(out, "left out: %s at %.1f s has no counterpart in the testbed\n", kind, at)
 			continue
 		}
 		report.Printf(out, "%s at %.1f s is played as %s%s\n", kind, at, fault.Kind, fault.Describe(s.Zones))
@@ -82,14 +82,14 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if day.Length <= 0 || len(day.Servers) == 0 || len(day.Schedulers) == 0 {
-		return nil, fmt.Errorf("%s is no simulated day: it has no length, servers or balancers", path)
+		return nil, fmt.Errorf("%s is not a simulated day: length, servers or balancers are missing", path)
 	}
 	return &day, nil
 }
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// counterpart returns the fault of a scenario that comes closest; ok reports whether there is one.
+// counterpart returns the scenario fault that corresponds most closely; ok reports whether there is one.
 func (d *simulatedDay) counterpart(t *simulatedFault) (f faults.Fault, ok bool) {
 	f = faults.Fault{
 		At:       microseconds(t.At),
@@ -105,7 +105,7 @@
 	case "slow":
 		f.Kind = faults.KindSlow
 	case "grow", "deploy":
-		d.stepwise(t, &f)
+		d.setStepwise(t, &f)
 	case "class_fail":
 		f.Kind, f.Size = faults.KindWorkloadIgnored, float64(t.Which)
 	case "throttle":
@@ -130,8 +130,8 @@
 	return f, true
 }
 
-// stepwise fills in a fault that starts machines in steps.
-func (d *simulatedDay) stepwise(t *simulatedFault, f *faults.Fault) {
+// setStepwise sets the kind, fraction and size of a fault that starts machines in steps.
+func (d *simulatedDay) setStepwise(t *simulatedFault, f *faults.Fault) {
 	const largestFraction = 0.9
 	started := 0
 	for _, step := range t.Steps {
--- a/internal/testbed/scenario/report.go
+++ b/internal/testbed/scenario/report.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testbed/report"
 )
 
-// Print writes the outcome's figures and, last, whether the rules were kept.
+// Print writes the figures of the outcome and, at the end, whether the rules were kept.
 func (o *Outcome) Print(out io.Writer) {
 	o.printClients(out)
 	o.printSchedulers(out)
@@ -29,7 +29,7 @@
 	}
 }
 
-// printClients writes what the clients saw.
+// printClients writes the counts and latencies that the clients measured.
 func (o *Outcome) printClients(out io.Writer) {
 	tally := &o.Tally
 	report.Printf(out, "clients: %d submitted (%d of them retries), %d placed, %d rejected, %d failed, "+
@@ -43,7 +43,7 @@
 		report.QuantileMS(latency, 50), report.QuantileMS(latency, 99), report.QuantileMS(latency, 99.9))
 }
 
-// printSchedulers writes the stats of each scheduler.
+// printSchedulers writes the statistics of each scheduler.
 func (o *Outcome) printSchedulers(out io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(o.Status)) {
 		stats := o.Status[name]
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -16,8 +16,8 @@
 	Tally              emulator.Tally
 	Audit              *audit.Report
 	OverloadedMachines int                           // machines that failed under load while in slow start
-	Injected           map[faults.Kind]int           // by kind of fault
-	Status             map[string]map[string]float64 // each scheduler's stats, by its name
+	Injected           map[faults.Kind]int           // number of injected faults, by kind
+	Status             map[string]map[string]float64 // statistics of each scheduler, by its name
 }
 
 // Passed reports whether every rule was kept and every container got exactly one final reply.
@@ -25,7 +25,7 @@
 	return o.Audit.Passed() && o.Tally.DuplicateReplies == 0 && o.Tally.Pending == 0
 }
 
-// Run plays the scenario with schedulers started by program. The recording and the logs stay in dir.
+// Run plays the scenario; program is the command that starts a scheduler. The recording and the logs are kept in dir.
 func (s *Scenario) Run(dir string, program []string, out io.Writer) (*Outcome, error) {
 	c, err := cluster.Start(s.Spec, dir, program)
 	if err != nil {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenario files and runs them: a cluster, its load and the faults that are injected, and the
-// audit of the recording.
+// Package scenario reads scenario files and runs them: it starts a cluster, puts load on it, injects faults and audits
+// the recording.
 package scenario
 
 import (
@@ -15,9 +15,9 @@
 	cluster.Spec
 	Name   string
 	Length time.Duration
-	Settle time.Duration // after the last submission
-	Rate   float64       // submissions a second
+	Settle time.Duration // how long to wait for replies after the last submission
+	Rate   float64       // submissions per second
 	Faults []faults.Fault
 
-	Deprecations []strictyaml.Deprecation // old spellings in the file
+	Deprecations []strictyaml.Deprecation // old names used in the file
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -21,10 +21,10 @@
 	"glenport/scheduler"
 )
 
-// schedulerArgument makes the test program a scheduler.
+// schedulerArgument makes the test binary run as a scheduler.
 const schedulerArgument = "scheduler"
 
-// The test program is its own scheduler process, so that one can be killed.
+// The test binary also runs as the scheduler process, so that tests can kill a scheduler.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == schedulerArgument {
 		s, err := config.LoadScheduler(os.Args[3])
@@ -43,7 +43,7 @@
 	os.Exit(m.Run())
 }
 
-// shortScenario is a scenario with one scheduler and no faults.
+// shortScenario returns the short scenario with one scheduler and no faults.
 func shortScenario(t *testing.T) *Scenario {
 	t.Helper()
 	s := readScenario(t, "../../../scenarios/short.yaml")
@@ -51,7 +51,7 @@
 	return s
 }
 
-// writeShortScenario writes the short scenario with a part of it replaced, and the template that it names.
+// writeShortScenario writes the short scenario with a part of it replaced, and the scheduler configuration it uses.
 func writeShortScenario(t *testing.T, replaced, replacement string) (path string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -70,8 +70,8 @@
 	testutil.NoError(t, process.Poll(5*time.Millisecond, 30*time.Second, what, holds))
 }
 
-// The next incarnation cancels what has not started and adopts what runs, and no idempotency key of at-most-once work
-// runs twice though its clients retry all of it.
+// The next incarnation of a killed scheduler cancels the attempts that have not started and adopts the running
+// containers. No at-most-once container runs twice although the clients retry all of them.
 func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
 	s, dir := shortScenario(t), t.TempDir()
 	s.Machine.StartTime, s.Machine.ImageMissFactor = 150*time.Millisecond, 1
@@ -98,11 +98,11 @@
 		ran += status.Running
 	}
 	testutil.NoError(t, c.StartScheduler(p))
-	requireWithin30s(t, "what runs is adopted", func() bool {
+	requireWithin30s(t, "the running containers are adopted", func() bool {
 		stats, err := p.Status()
 		return err == nil && int(stats["containers taken over"]) >= ran
 	})
-	requireWithin30s(t, "what was lost is retried, and answered", func() bool {
+	requireWithin30s(t, "the lost requests are retried and answered", func() bool {
 		return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0
 	})
 	tally := c.Clients.Close()
@@ -113,8 +113,8 @@
 		"%v; %+v", findings.Violations, tally)
 }
 
-// The zone comes back in slow start, at the same addresses and under load. It goes down late enough that containers run
-// there also where starts are slow, as on a machine with other work.
+// The machines of a restarted zone come back in slow start, at the same addresses and under load. The zone goes down
+// late enough that containers already run there even if the test host is busy and starts are slow.
 func TestZoneComesBackInSlowStart(t *testing.T) {
 	s, dir := shortScenario(t), t.TempDir()
 	s.Length, s.Schedulers = 5*time.Second, 2
@@ -129,7 +129,7 @@
 	}
 }
 
-// The error names what is wrong.
+// The error names the value or key that is wrong.
 func TestInvalidScenarioFileIsRefused(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no such kind of fault", "kind: slow", "kind: sloth", `"sloth" is no kind of fault`},
@@ -147,7 +147,8 @@
 	}
 }
 
-// What has no counterpart is named.
+// Simulated faults are replayed by their counterparts. Those without one are reported, and a file that is not a
+// simulated day is refused.
 func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
 	testutil.WriteFile(t, path, []byte(`{"site":"s","length":9000000,
@@ -168,6 +169,6 @@
 	}
 	testutil.WriteFile(t, path, []byte(`{}`))
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
-		t.Error("what is no day is played")
+		t.Error("a file that is not a simulated day is accepted")
 	}
 }
