--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -7,21 +7,21 @@
 	"glenport/scheduler"
 )
 
-const simMaxTries = 12 // of one container; half of that for at-most-once ones
+const simMaxTries = 12 // tries of one container; at-most-once containers get half as many
 
 // simContainer is a container that a client wants to run.
 type simContainer struct {
-	number         int
-	workloadClass  int
-	client         string
-	ignoresAdvice  bool
-	scheduledRetry bool // the next try is at the time that the limiter gave
-	firstTry       scheduler.Time
-	tries          int
+	number            int
+	workloadClass     int
+	client            string
+	ignoresRetryAfter bool
+	scheduledRetry    bool // the next try comes at the time that the limiter gave
+	firstTry          scheduler.Time
+	tries             int
 }
 
-// nextClient submits the next container; arrivals are Poisson.
-func (sim *Simulation) nextClient() {
+// submitNext submits a new container and schedules the next one. Arrivals follow a Poisson process.
+func (sim *Simulation) submitNext() {
 	sim.nextID++
 	c := &simContainer{number: sim.nextID, firstTry: sim.now}
 	switch r := sim.rng.Float64(); {
@@ -33,18 +33,18 @@
 		c.workloadClass = simAtMostOnce
 	}
 	c.client = fmt.Sprint("c", sim.rng.IntN(200))
-	c.ignoresAdvice = sim.rng.Float64() < sim.IgnoringClients
-	sim.secondOf(c).Submitted++
+	c.ignoresRetryAfter = sim.rng.Float64() < sim.IgnoringClients
+	sim.firstTrySecond(c).Submitted++
 	sim.submit(c)
-	sim.schedule(scheduler.Time(sim.rng.ExpFloat64()/sim.Rate*float64(scheduler.Second)), sim.nextClient)
+	sim.schedule(scheduler.Time(sim.rng.ExpFloat64()/sim.Rate*float64(scheduler.Second)), sim.submitNext)
 }
 
-// secondOf is the second of a container's first try.
-func (sim *Simulation) secondOf(c *simContainer) *SimSecond {
+// firstTrySecond returns the counts for the second of a container's first try.
+func (sim *Simulation) firstTrySecond(c *simContainer) *SimSecond {
 	return &sim.Seconds[int(c.firstTry/scheduler.Second)]
 }
 
-// submit sends a container to a scheduler drawn at random.
+// submit submits a container to a random scheduler.
 func (sim *Simulation) submit(c *simContainer) {
 	c.tries++
 	if c.tries > 1 {
@@ -57,8 +57,8 @@
 		sim.ScheduledRetries++
 	}
 	if retryAfter, shed := s.shed(c); shed {
-		sim.secondOf(c).Shed++
-		c.scheduledRetry = !c.ignoresAdvice
+		sim.firstTrySecond(c).Shed++
+		c.scheduledRetry = !c.ignoresRetryAfter
 		sim.retry(c, retryAfter)
 		return
 	}
@@ -68,16 +68,16 @@
 	s.receive(c)
 }
 
-// retry is what a client does that was rejected or shed: it gives up, or submits again after a time that depends on the
-// damping and on whether it heeds advice.
+// retry handles a rejected, shed or failed try: the client gives up, or submits the container again after a time that
+// depends on the damping and on whether the client obeys retry-after.
 func (sim *Simulation) retry(c *simContainer, retryAfter scheduler.Time) {
 	if c.tries >= simMaxTries || c.workloadClass == simAtMostOnce && c.tries >= simMaxTries/2 {
-		sim.secondOf(c).Abandoned++
+		sim.firstTrySecond(c).Abandoned++
 		return
 	}
 	wait := 50*scheduler.Millisecond + scheduler.Time(sim.rng.Float64()*float64(100*scheduler.Millisecond))
 	switch {
-	case c.ignoresAdvice:
+	case c.ignoresRetryAfter:
 	case sim.Damping == Exponential || sim.Damping == Limited && retryAfter == 0:
 		span := float64(200*scheduler.Millisecond) * math.Exp2(float64(min(c.tries, 7)))
 		wait = scheduler.Time(span/2 + sim.rng.Float64()*span/2)
--- a/internal/testbed/simulation/machine.go
+++ b/internal/testbed/simulation/machine.go
@@ -3,14 +3,14 @@
 import "glenport/scheduler"
 
 const (
-	simSlots            = 4 // starts at once
-	simQueue            = 60
+	simConcurrentStarts = 4
+	simMaxQueued        = 60
 	simAcceptedCores    = 96
-	simStart            = 30 * scheduler.Millisecond
-	simFirstStartFactor = 4.0  // by which the start of a program that is not cached takes longer
-	simSlowStartPace    = 0.25 // of a machine that has just started
+	simStartTime        = 30 * scheduler.Millisecond
+	simImageMissFactor  = 4.0  // multiplies the start time of an image that is not cached
+	simSlowStartPace    = 0.25 // pace of a machine that has just started
 	simRuntime          = 2 * scheduler.Second
-	simCachedPrograms   = 12
+	simCachedImages     = 12
 )
 
 // simMachine is a plain model of a machine.
@@ -23,13 +23,13 @@
 	busy        int
 	queue       []*simAttempt
 	cores       float64
-	programs    []string
+	images      []string
 }
 
-// crash loses all that the machine holds.
+// crash takes the machine down. Its containers and cached images are lost, and queued attempts end as lost.
 func (m *simMachine) crash() {
 	m.up = false
-	m.busy, m.cores, m.programs = 0, 0, nil
+	m.busy, m.cores, m.images = 0, 0, nil
 	m.incarnation++
 	queue := m.queue
 	m.queue = nil
@@ -38,7 +38,7 @@
 	}
 }
 
-// offer queues an attempt or refuses it.
+// offer queues an attempt or rejects it.
 func (m *simMachine) offer(attempt *simAttempt) {
 	sim := m.simulation
 	refuse := func(o scheduler.Outcome, r scheduler.Reason) {
@@ -49,7 +49,7 @@
 		refuse(scheduler.OutcomeConnectFailed, scheduler.ReasonNone)
 	case m.cores+attempt.cores > simAcceptedCores:
 		refuse(scheduler.OutcomeFull, scheduler.ReasonNoCores)
-	case len(m.queue) >= simQueue:
+	case len(m.queue) >= simMaxQueued:
 		refuse(scheduler.OutcomeFull, scheduler.ReasonQueueTooLong)
 	default:
 		m.cores += attempt.cores
@@ -58,11 +58,11 @@
 	}
 }
 
-// startQueued starts attempts from the queue while there is room. Those past their deadline are dropped; what was begun
-// is carried out though nobody waits for it any more.
+// startQueued starts attempts from the queue while fewer than simConcurrentStarts are in progress. It drops those past
+// their deadline. A start in progress is completed even if its deadline passes.
 func (m *simMachine) startQueued() {
 	sim := m.simulation
-	for m.busy < simSlots && len(m.queue) > 0 {
+	for m.busy < simConcurrentStarts && len(m.queue) > 0 {
 		attempt := m.queue[0]
 		m.queue = m.queue[1:]
 		if sim.now >= attempt.deadline {
@@ -75,11 +75,11 @@
 	}
 }
 
-// startTime is how long a start takes: longer for a program that is not cached, and in slow start.
+// startTime returns how long a start takes: longer if the image is not cached, and in slow start.
 func (m *simMachine) startTime(service string) scheduler.Time {
-	took := float64(simStart)
-	if !m.useProgram(service) {
-		took *= simFirstStartFactor
+	took := float64(simStartTime)
+	if !m.useImage(service) {
+		took *= simImageMissFactor
 	}
 	period := m.simulation.config.SlowStartPeriod
 	if up := m.simulation.now - m.started; m.started > 0 && up < period {
@@ -99,15 +99,15 @@
 	m.startQueued()
 }
 
-// useProgram reports whether a service's program is cached, and caches it; the least recently used one is evicted.
-func (m *simMachine) useProgram(service string) bool {
-	for i, s := range m.programs {
+// useImage reports whether the image of a service is cached, and caches it. The least recently used image is evicted.
+func (m *simMachine) useImage(service string) bool {
+	for i, s := range m.images {
 		if s == service {
-			copy(m.programs[1:i+1], m.programs[:i])
-			m.programs[0] = s
+			copy(m.images[1:i+1], m.images[:i])
+			m.images[0] = s
 			return true
 		}
 	}
-	m.programs = append([]string{service}, m.programs[:min(len(m.programs), simCachedPrograms-1)]...)
+	m.images = append([]string{service}, m.images[:min(len(m.images), simCachedImages-1)]...)
 	return false
 }
--- a/internal/testbed/simulation/recovery.go
+++ b/internal/testbed/simulation/recovery.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// Recovery is how a run came through a fault.
+// Recovery describes the goodput of a run before and after a fault.
 type Recovery struct {
-	Before, Lowest   float64 // goodput a second
-	SecondsToRecover int     // from the fault until goodput was back; -1: it never was
-	Lost             float64 // starts within the latency objective that were missed, against the time before
+	Before, Lowest   float64 // goodput per second: mean before the fault, minimum after it
+	SecondsToRecover int     // from the fault until goodput has recovered; -1: not in the run
+	Lost             float64 // starts within the latency objective missing after the fault, compared with before
 }
 
 const (
-	warmupSeconds  = 2    // that are not counted as before the fault
-	recoveredShare = 0.95 // of the goodput before
-	recoveredFor   = 3    // seconds over which that share must hold on average
+	warmupSeconds  = 2    // excluded from the mean before the fault
+	recoveryShare  = 0.95 // of the goodput before
+	recoveryWindow = 3    // seconds over which that share must hold on average
 )
 
-// EvaluateRecovery evaluates a run by its goodput in each second and the second of the fault.
+// EvaluateRecovery computes the recovery from the goodput in each second and the second of the fault.
 func EvaluateRecovery(goodput []float64, fault int) Recovery {
 	r := Recovery{Lowest: math.Inf(1), SecondsToRecover: -1}
 	for _, g := range goodput[warmupSeconds:fault] {
@@ -28,8 +28,8 @@
 		r.Lowest = min(r.Lowest, g)
 		r.Lost += max(0, r.Before-g)
 	}
-	for i := fault + 2; i+recoveredFor <= len(goodput); i++ {
-		if goodput[i]+goodput[i+1]+goodput[i+2] >= recoveredFor*recoveredShare*r.Before {
+	for i := fault + 2; i+recoveryWindow <= len(goodput); i++ {
+		if goodput[i]+goodput[i+1]+goodput[i+2] >= recoveryWindow*recoveryShare*r.Before {
 			r.SecondsToRecover = i - fault
 			break
 		}
@@ -38,15 +38,15 @@
 }
 
 func (r Recovery) String() string {
-	back := "never in the run (metastable)"
+	recovered := "not recovered in the run (metastable)"
 	if r.SecondsToRecover >= 0 {
-		back = fmt.Sprintf("back after %d s", r.SecondsToRecover)
+		recovered = fmt.Sprintf("recovered after %d s", r.SecondsToRecover)
 	}
 	return fmt.Sprintf(
-		"in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost",
+		"starts in time: %.0f per second before, %.0f at worst, %s, %.0f lost",
 		r.Before,
 		r.Lowest,
-		back,
+		recovered,
 		r.Lost,
 	)
 }
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -10,13 +10,13 @@
 	"glenport/scheduler"
 )
 
-// simScheduler is a scheduler's decisions and its concurrency limit.
+// simScheduler is a scheduler: its decisions and its concurrency limiter.
 type simScheduler struct {
 	simulation  *Simulation
 	config      scheduler.Config
 	incarnation int
 	decider     *scheduler.Scheduler
-	limiter     *overload.Limiter // nil without a limit
+	limiter     *overload.Limiter // nil unless the damping is Limited
 	requests    map[scheduler.ContainerID]*simRequest
 }
 
@@ -38,7 +38,7 @@
 	deadline  scheduler.Time
 	service   string
 	cores     float64
-	done      bool // it has had its outcome at the scheduler
+	done      bool // the scheduler has received the outcome
 	accepted  bool
 }
 
@@ -53,7 +53,8 @@
 	s.handle(scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Entries: sim.machineList(nil)})
 }
 
-// startLimiter starts a concurrency limit with the state of the incarnation before, unless that is to be dropped.
+// startLimiter starts a concurrency limiter. It restores the state of the previous incarnation's limiter, unless
+// DropLimiterState is set.
 func (s *simScheduler) startLimiter() {
 	const snapshotConfidence = 0.9
 	config := overload.Config{Seed: s.config.Seed, MaxOpen: 1_000_000}
@@ -70,7 +71,8 @@
 	}
 }
 
-// restart ends an incarnation and begins the next; clients without a reply see their connections close and retry.
+// restart ends an incarnation and begins the next. Clients without a reply see their connections close and retry,
+// except for at-most-once containers.
 func (s *simScheduler) restart() {
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		if request := s.requests[id]; !request.answered && request.container.workloadClass != simAtMostOnce {
@@ -80,7 +82,7 @@
 	s.start()
 }
 
-// shed reports whether the limiter sheds a container, and when it is to be retried.
+// shed reports whether the limiter sheds a container, and after what time the client shall retry.
 func (s *simScheduler) shed(c *simContainer) (retryAfter scheduler.Time, shed bool) {
 	if s.limiter == nil {
 		return 0, false
@@ -94,7 +96,7 @@
 	return 0, false
 }
 
-// receive hands a container to the decisions.
+// receive passes a placement request for a container to the decisions.
 func (s *simScheduler) receive(c *simContainer) {
 	sim := s.simulation
 	id := scheduler.ContainerID(fmt.Sprintf("%d#%d", c.number, c.tries))
@@ -112,7 +114,7 @@
 	}})
 }
 
-// handle gives the decisions an event and carries out their actions.
+// handle passes an event to the decisions and executes their actions.
 func (s *simScheduler) handle(event scheduler.Event) {
 	for _, action := range s.decider.Handle(s.simulation.now, []scheduler.Event{event}) {
 		s.simulation.Actions++
@@ -132,26 +134,26 @@
 }
 
 func (s *simScheduler) reject(action scheduler.Reject) {
-	request := s.answer(action.ID)
+	request := s.markAnswered(action.ID)
 	if request == nil {
 		return
 	}
-	s.simulation.secondOf(request.container).Rejected++
+	s.simulation.firstTrySecond(request.container).Rejected++
 	s.simulation.retry(request.container, 0)
 }
 
 func (s *simScheduler) fail(action scheduler.Fail) {
-	request := s.answer(action.ID)
+	request := s.markAnswered(action.ID)
 	if request == nil {
 		return
 	}
-	s.simulation.secondOf(request.container).Failed++
+	s.simulation.firstTrySecond(request.container).Failed++
 	if request.container.workloadClass != simAtMostOnce {
 		s.simulation.retry(request.container, 0)
 	}
 }
 
-// setTimer sets a timer that dies with its incarnation.
+// setTimer sets a timer that is ignored once the incarnation has ended.
 func (s *simScheduler) setTimer(action scheduler.SetTimer) {
 	incarnation := s.incarnation
 	s.simulation.schedule(action.After, func() {
@@ -172,8 +174,8 @@
 	})
 }
 
-// answer marks a request as answered by something other than placed and returns it, or nil if it has been answered.
-func (s *simScheduler) answer(id scheduler.ContainerID) *simRequest {
+// markAnswered marks a request as rejected or failed and returns it, or nil if it has been answered before.
+func (s *simScheduler) markAnswered(id scheduler.ContainerID) *simRequest {
 	request := s.requests[id]
 	if request == nil || request.answered {
 		return nil
@@ -210,7 +212,7 @@
 	sim.schedule(simLatency, func() { m.offer(attempt) })
 }
 
-// finish gives an attempt its one outcome at its scheduler.
+// finish reports the outcome of an attempt to its scheduler. Only the first outcome counts.
 func (a *simAttempt) finish(outcome scheduler.Outcome, reason scheduler.Reason) {
 	if a.done {
 		return
@@ -238,7 +240,7 @@
 	)
 }
 
-// accept is the machine's accept as it reaches the scheduler; one that comes too late stops what has started.
+// accept handles a machine's accept when it reaches the scheduler. If it comes too late, the container is stopped.
 func (a *simAttempt) accept(incarnation int) {
 	s, sim := a.scheduler, a.scheduler.simulation
 	request := s.requests[a.id]
@@ -254,15 +256,15 @@
 		s.limiter.Handle(sim.now, overload.RequestStarted{WorkloadClass: class, Elapsed: took})
 	}
 	if took <= sim.config.WorkloadClasses[class].LatencyObjective {
-		sim.secondOf(request.container).InTime++
+		sim.firstTrySecond(request.container).InTime++
 		sim.Seconds[int(sim.now/scheduler.Second)].Placed++
 	} else {
-		sim.secondOf(request.container).Late++
+		sim.firstTrySecond(request.container).Late++
 	}
 	a.endAfter(simRuntime, incarnation, scheduler.OutcomeFinished)
 }
 
-// endAfter ends the container on its machine after a while, unless the machine has restarted since.
+// endAfter ends the attempt after a delay. The machine's cores are freed unless it has restarted since.
 func (a *simAttempt) endAfter(delay scheduler.Time, incarnation int, outcome scheduler.Outcome) {
 	m := a.machine
 	m.simulation.schedule(delay, func() {
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -1,4 +1,4 @@
-// Package simulation plays the decisions of schedulers on a virtual clock, with plain models of machines and clients.
+// Package simulation runs the decisions of schedulers on a virtual clock, with simple models of machines and clients.
 package simulation
 
 import (
@@ -9,21 +9,22 @@
 	"glenport/scheduler"
 )
 
-// Simulation is a cluster on a virtual clock: the real decisions of many schedulers and their concurrency limits, with
-// a plain model of machines, connections and clients. One seed gives one outcome.
+// Simulation is a cluster on a virtual clock. It runs the real decisions and concurrency limiters of many schedulers
+// with simple models of machines, connections and clients. The outcome is determined by the seed.
 type Simulation struct {
 	Seed            uint64
 	Schedulers      int
 	Machines        int
-	Rate            float64 // first tries a second, of all clients
+	Rate            float64 // first tries per second, of all clients
 	Length          scheduler.Time
 	Damping         Damping
-	IgnoringClients float64 // part of the clients that ignore all advice
-	// Restart is how many machines go down together at RestartAt. They are back, in slow start, after DownFor.
+	IgnoringClients float64 // fraction of the containers whose client ignores retry-after and does not back off
+	// Restart is how many machines go down together at RestartAt. They come back, in slow start, after DownFor.
 	Restart   int
 	RestartAt scheduler.Time
 	DownFor   scheduler.Time
-	// SchedulersRestartAt is when all schedulers restart, where it is above 0; with or without their limiters' state.
+	// SchedulersRestartAt is when all schedulers restart; 0: they do not. DropLimiterState has them restart without the
+	// state of their limiters.
 	SchedulersRestartAt scheduler.Time
 	DropLimiterState    bool
 
@@ -39,40 +40,40 @@
 
 	Seconds []SimSecond
 	Actions int
-	// ScheduledRetries came at the time that a limiter gave; AdmittedRetries are those of them for which there was
-	// room.
+	// ScheduledRetries counts the tries that came at the time that a limiter gave, AdmittedRetries those of them that
+	// were admitted.
 	ScheduledRetries, AdmittedRetries int
 }
 
-// Damping is what schedulers and clients do against overload.
+// Damping selects how schedulers and clients limit overload.
 type Damping uint8
 
 const (
-	// NoDamping has clients retry at once.
+	// NoDamping means that clients retry after a short random delay.
 	NoDamping Damping = iota
-	// Exponential has clients back off exponentially, with jitter.
+	// Exponential means that clients back off exponentially, with jitter.
 	Exponential
-	// Limited has schedulers limit concurrency, and clients heed the retry-after that they are given.
+	// Limited means that schedulers limit concurrency and clients obey the retry-after that they are given.
 	Limited
 )
 
 func (d Damping) String() string { return [...]string{"none", "exponential", "glenport"}[d] }
 
-// SimSecond counts the results of the containers first tried in one second, at whichever try.
+// SimSecond counts the results of the containers whose first try was in one second, except for Retried and Placed.
 type SimSecond struct {
 	Submitted, Retried, InTime, Late, Shed, Rejected, Failed, Abandoned int
-	// in this second and within the latency objective, whenever they were first tried
+	// Placed counts the containers placed in this second within the latency objective, whenever their first try was.
 	Placed int
 }
 
-// simEvent is something that happens at a moment of virtual time.
+// simEvent is a function to call at a virtual time.
 type simEvent struct {
 	at  scheduler.Time
 	seq uint64
 	do  func()
 }
 
-// simEvents is a heap of events, the next one first.
+// simEvents is a heap of events with the earliest on top.
 type simEvents []simEvent
 
 func (h simEvents) Len() int { return len(h) }
@@ -81,7 +82,7 @@
 }
 func (h simEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *simEvents) Push(x any) {
-	event, _ := x.(simEvent) // schedule pushes nothing else
+	event, _ := x.(simEvent) // schedule pushes no other type
 	*h = append(*h, event)
 }
 
@@ -92,17 +93,17 @@
 	return x
 }
 
-// schedule calls do after a span of virtual time; events of one moment are called in the order of scheduling.
+// schedule calls do after a span of virtual time. Calls due at the same time are made in the order of scheduling.
 func (sim *Simulation) schedule(span scheduler.Time, do func()) {
 	sim.seq++
 	heap.Push(&sim.events, simEvent{sim.now + max(0, span), sim.seq, do})
 }
 
 const (
-	simLatency      = 5 // of a message, in tenths of a millisecond
-	simServices     = 60
-	simCores        = 0.5 // of a container
-	simSharedBudget = 60  // slow-start budget of a machine in a window, from all schedulers
+	simLatency         = 5 // latency of a message, in tenths of a millisecond
+	simServices        = 60
+	simCores           = 0.5 // of a container
+	simSlowStartBudget = 60  // slow-start budget of a machine in a window, from all schedulers
 )
 
 // The workload classes of simConfig.
@@ -129,7 +130,7 @@
 		ResyncInterval:     10 * scheduler.Second,
 		SlowStartPeriod:    10 * scheduler.Second,
 		SlowStartWindow:    scheduler.Second,
-		SlowStartBudget:    simSharedBudget,
+		SlowStartBudget:    simSlowStartBudget,
 		MachineTypes:       []scheduler.MachineType{{Cores: 48, Memory: 120}},
 		WorkloadClasses: []scheduler.WorkloadClass{
 			simIdempotent: {
@@ -183,18 +184,18 @@
 			}
 		})
 	}
-	sim.schedule(0, sim.nextClient)
+	sim.schedule(0, sim.submitNext)
 	if sim.Restart > 0 {
 		sim.schedule(sim.RestartAt, func() { sim.restartMachines() })
 	}
 	for len(sim.events) > 0 && sim.events[0].at <= sim.Length {
-		e, _ := heap.Pop(&sim.events).(simEvent) // there is nothing else on the heap
+		e, _ := heap.Pop(&sim.events).(simEvent) // the heap holds no other type
 		sim.now = e.at
 		e.do()
 	}
 }
 
-// machineList returns the list's entries of some machines, or of all.
+// machineList returns the machine-list entries of some machines, or of all if only is nil.
 func (sim *Simulation) machineList(only map[scheduler.MachineID]bool) []scheduler.MachineEntry {
 	var all []scheduler.MachineEntry
 	for i, m := range sim.fleet {
@@ -213,7 +214,7 @@
 	return all
 }
 
-// restartMachines takes machines down together and brings them back. The list reports either with a delay.
+// restartMachines takes machines down together and brings them back. The machine list reports both with a delay.
 func (sim *Simulation) restartMachines() {
 	which := map[scheduler.MachineID]bool{}
 	for i := range min(sim.Restart, len(sim.fleet)) {
@@ -237,7 +238,7 @@
 	})
 }
 
-// Goodput is what was placed within its latency objective in each whole second.
+// Goodput returns how many containers were placed within the latency objective in each whole second.
 func (sim *Simulation) Goodput() []float64 {
 	var perSecond []float64
 	for _, s := range sim.Seconds[:len(sim.Seconds)-1] {
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	"glenport/scheduler"
 )
 
-func simulatedOnce(d Damping) (*Simulation, Recovery) {
+func runSimulation(d Damping) (*Simulation, Recovery) {
 	w := &Simulation{
 		Seed:       1,
 		Schedulers: 2,
@@ -24,16 +24,16 @@
 	return w, EvaluateRecovery(w.Goodput(), 8)
 }
 
-// With a concurrency limit a small fleet recovers from a restart; without one the overload outlives its cause. The same
-// seed gives the same outcome.
+// With a concurrency limit a small fleet recovers from a restart. Without one, retries keep the fleet overloaded after
+// the machines are back. Equal seeds give equal outcomes.
 func TestConcurrencyLimitRecoversFromFleetRestart(t *testing.T) {
-	w, damped := simulatedOnce(Limited)
-	_, none := simulatedOnce(NoDamping)
-	again, _ := simulatedOnce(Limited)
-	testutil.Expect(t, fmt.Sprint(w.Seconds) == fmt.Sprint(again.Seconds), "one seed, two outcomes")
-	if damped.SecondsToRecover < 0 || damped.Lost >= none.Lost {
-		t.Errorf("damped: %s; not: %s", damped, none)
+	w, limited := runSimulation(Limited)
+	_, undamped := runSimulation(NoDamping)
+	again, _ := runSimulation(Limited)
+	testutil.Expect(t, fmt.Sprint(w.Seconds) == fmt.Sprint(again.Seconds), "equal seeds gave different outcomes")
+	if limited.SecondsToRecover < 0 || limited.Lost >= undamped.Lost {
+		t.Errorf("limited: %s; undamped: %s", limited, undamped)
 	} else {
-		t.Logf("damped: %s; not: %s", damped, none)
+		t.Logf("limited: %s; undamped: %s", limited, undamped)
 	}
 }
