--- a/internal/testbed/simnet/connection.go
+++ b/internal/testbed/simnet/connection.go
@@ -15,27 +15,27 @@
 	peer     *PeerConn
 	closed   bool // the process has closed its end
 	closedAt time.Duration
-	accepted bool // the process serves the connection, or has made it
+	accepted bool // the process serves the connection, or has initiated it
 
 	toPeer    pipe
 	toProcess pipe
-	input     []byte // has arrived and was not read by the process
-	inputEnds bool   // the peer's end has arrived
+	input     []byte // bytes that have arrived and that the process has not read
+	inputEnds bool   // the end of the peer's stream has arrived
 	reset     bool   // a reset by the peer has arrived
-	bytesRead int    // by the process
-	marks     []readMark
+	bytesRead int    // number of bytes that the process has read
+	readMarks []readMark
 }
 
 // pipe is one direction of a connection.
 type pipe struct {
-	capacity    int           // of the bytes on their way and unread; 0: without limit
-	held        int           // bytes on their way and unread
-	lastArrival time.Duration // nothing overtakes
-	ended       bool          // the sender has ended it
+	capacity    int           // maximum of buffered; 0: the pipe has no limit
+	buffered    int           // number of bytes that are in transit or unread
+	lastArrival time.Duration // later arrivals are not scheduled before this time
+	ended       bool          // the sender has ended the stream
 	congested   bool          // the last write did not fit
 }
 
-// readMark is called once the process has read so many bytes.
+// readMark is a callback for when the process has read a number of bytes.
 type readMark struct {
 	bytes  int
 	onRead func()
@@ -51,16 +51,16 @@
 	return c
 }
 
-// free is how many bytes a write can take.
-func (p *pipe) free() int { return p.capacity - p.held }
+// free returns how many bytes a write can take.
+func (p *pipe) free() int { return p.capacity - p.buffered }
 
-// arrive has something happen at the far end of a pipe, behind all that was sent before.
-func (c *connection) arrive(p *pipe, do func()) {
+// scheduleArrival schedules a callback at the receiving end of a pipe, after all that was sent before.
+func (c *connection) scheduleArrival(p *pipe, do func()) {
 	p.lastArrival = max(p.lastArrival, c.network.now+c.network.delay())
 	c.network.After(p.lastArrival-c.network.now, do)
 }
 
-// split returns the parts in which bytes arrive.
+// split returns the parts in which data arrives: at random, one or two.
 func (c *connection) split(data []byte) [][]byte {
 	data = bytes.Clone(data)
 	if len(data) < 2 || !c.network.oneIn(splitOneIn) {
@@ -70,33 +70,33 @@
 	return [][]byte{data[:at], data[at:]}
 }
 
-// sendToPeer sends what the process has written.
+// sendToPeer sends data that the process has written.
 func (c *connection) sendToPeer(data []byte, iteration int) {
 	congested := c.toPeer.congested
 	for _, part := range c.split(data) {
 		chunk := Chunk{Data: part, WrittenAt: c.network.now, Iteration: iteration, Congested: congested}
-		c.toPeer.held += len(part)
-		c.arrive(&c.toPeer, func() { c.peer.receive(chunk) })
+		c.toPeer.buffered += len(part)
+		c.scheduleArrival(&c.toPeer, func() { c.peer.receive(chunk) })
 	}
 }
 
-// endToPeer ends what the process sends.
+// endToPeer ends the stream to the peer: with io.EOF, or with the errno of a reset.
 func (c *connection) endToPeer(reason error) {
 	if !c.toPeer.ended || !errors.Is(reason, io.EOF) {
 		c.toPeer.ended = true
-		c.arrive(&c.toPeer, func() { c.peer.end(reason) })
+		c.scheduleArrival(&c.toPeer, func() { c.peer.end(reason) })
 	}
 }
 
-// sendToProcess sends what the peer has written.
+// sendToProcess sends data that the peer has written.
 func (c *connection) sendToProcess(data []byte) {
 	for _, part := range c.split(data) {
-		c.arrive(&c.toProcess, func() { c.arrived(part) })
+		c.scheduleArrival(&c.toProcess, func() { c.deliver(part) })
 	}
 }
 
-// arrived takes bytes in at the process's end. One that is closed answers with a reset.
-func (c *connection) arrived(part []byte) {
+// deliver adds bytes to the input of the process. If the process has closed its end, the peer receives a reset.
+func (c *connection) deliver(part []byte) {
 	if c.closed {
 		c.endToPeer(unix.ECONNRESET)
 		return
@@ -104,20 +104,20 @@
 	c.input = append(c.input, part...)
 }
 
-// read takes bytes that have arrived, as the process reads them.
+// read copies input to a buffer of the process, and runs the read marks that are reached.
 func (c *connection) read(p []byte) int {
 	count := copy(p, c.input)
 	c.input = c.input[count:]
 	c.bytesRead += count
-	for len(c.marks) > 0 && c.marks[0].bytes <= c.bytesRead {
-		mark := c.marks[0]
-		c.marks = c.marks[1:]
+	for len(c.readMarks) > 0 && c.readMarks[0].bytes <= c.bytesRead {
+		mark := c.readMarks[0]
+		c.readMarks = c.readMarks[1:]
 		mark.onRead()
 	}
 	return count
 }
 
-// closeByProcess ends the process's side. The peer is reset where input is left unread, as by Linux.
+// closeByProcess closes the process's end. As on Linux, the peer receives a reset if input is left unread.
 func (c *connection) closeByProcess() {
 	if len(c.input) > 0 {
 		c.resetByProcess()
@@ -127,7 +127,7 @@
 	c.endToPeer(io.EOF)
 }
 
-// resetByProcess ends the process's side at once.
+// resetByProcess closes the process's end with a reset.
 func (c *connection) resetByProcess() {
 	c.closed, c.closedAt = true, c.network.now
 	c.endToPeer(unix.ECONNRESET)
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	pollerFD        = 3
-	wakeupFD        = 4
-	firstSocketFD   = 5
-	iterationCost   = 10 * time.Microsecond // of the clock, for what the process does between two waits, at least
-	costVariation   = 40 * time.Microsecond
-	unlimitedFDs    = 1 << 20
-	startOfClock    = 1_900_000_000 * time.Second // since the Unix epoch
-	maxWaitIdleSpan = time.Hour                   // a process that waits for nothing at all is ended
+	pollerFD      = 3
+	wakeupFD      = 4
+	firstSocketFD = 5
+	iterationCost = 10 * time.Microsecond // least time that the process takes between two waits
+	costVariation = 40 * time.Microsecond // random time on top of that, at most
+	unlimitedFDs  = 1 << 20
+	startOfClock  = 1_900_000_000 * time.Second // since the Unix epoch
+	maxIdleWait   = time.Hour                   // longest step of the clock in a wait without a timeout
 )
 
 var (
 	// ErrKilled ends the wait of a process that was killed.
 	ErrKilled = errors.New("killed")
-	// ErrNothingHappens ends the wait of a process for which nothing will ever happen.
-	ErrNothingHappens = errors.New("nothing happens any more")
+	// ErrNoEvents ends the wait of a process that waits without a timeout when no callback is scheduled.
+	ErrNoEvents = errors.New("no event is left to wait for")
 	// ErrStopped ends the wait of a process at the end of the simulation.
 	ErrStopped = errors.New("the simulation is over")
 )
 
-// Kernel implements eventloop.Kernel for one process on a network. The clock moves by a little at each Wait, which
-// stands for the work of the process, and while the process waits.
+// Kernel implements eventloop.Kernel for one process on a network. The clock moves while the process waits, and by a
+// small step at the begin of each Wait, which stands for the work of the process.
 type Kernel struct {
-	// Limit bounds the open descriptors; what is open already stays so.
+	// Limit is the maximum number of open descriptors. Lowering it closes none.
 	Limit int
-	// OnWait, if set, is called at the begin of each Wait; an error ends the process.
+	// OnWait, if set, is called at the begin of each Wait. Its error is returned by Wait and ends the process.
 	OnWait func() error
 
 	network   *Network
@@ -42,22 +42,22 @@
 	woken     bool
 	killed    bool
 	iteration int
-	stall     time.Duration // that lies ahead
+	stall     time.Duration // time for which the process is still to be stalled
 }
 
-// NewKernel makes the kernel of a process.
+// NewKernel returns a kernel for a process on the network.
 func (n *Network) NewKernel() *Kernel { return &Kernel{Limit: unlimitedFDs, network: n} }
 
-// Kill has the process end: Wait fails, connections are reset, and nothing more is written.
+// Kill ends the process: Wait fails, connections are reset, and no further write succeeds.
 func (k *Kernel) Kill() { k.killed = true }
 
-// Stall has the process not run for a time, from now on. It is called while the process waits.
+// Stall suspends the process for a time from now on. It is called while the process waits.
 func (k *Kernel) Stall(span time.Duration) { k.stall += span }
 
-// Iteration is the number of calls of Wait so far.
+// Iteration returns the number of calls of Wait so far.
 func (k *Kernel) Iteration() int { return k.iteration }
 
-// OpenDescriptors is the number of descriptors that are open.
+// OpenDescriptors returns the number of open descriptors.
 func (k *Kernel) OpenDescriptors() int {
 	count := 0
 	for _, s := range k.sockets {
@@ -77,7 +77,7 @@
 // Since implements eventloop.Clock.
 func (k *Kernel) Since(earlier time.Time) time.Duration { return k.Now().Sub(earlier) }
 
-// CPUTime implements eventloop.Clock: nothing takes processor time.
+// CPUTime implements eventloop.Clock. The simulated process uses no processor time.
 func (k *Kernel) CPUTime() time.Duration { return 0 }
 
 // OpenPoller implements eventloop.Poller.
@@ -109,11 +109,11 @@
 	if s == nil {
 		return unix.EBADF
 	}
-	s.watched, s.watchedFor = true, events
+	s.watched, s.watchedEvents = true, events
 	return nil
 }
 
-// Wait implements eventloop.Poller: it lets time pass for the network until something is ready.
+// Wait implements eventloop.Poller. It runs the network until a descriptor is ready or the timeout is over.
 func (k *Kernel) Wait(events []unix.EpollEvent, timeout int) (int, error) {
 	n := k.network
 	k.iteration++
@@ -123,7 +123,7 @@
 			return 0, err
 		}
 	}
-	deadline := n.now + maxWaitIdleSpan
+	deadline := n.now + maxIdleWait
 	if timeout >= 0 {
 		deadline = n.now + time.Duration(timeout)*time.Millisecond
 	}
@@ -132,12 +132,12 @@
 		if k.killed {
 			return 0, ErrKilled
 		}
-		if ready := k.ready(events); ready > 0 {
+		if ready := k.collectReady(events); ready > 0 {
 			return ready, nil
 		}
-		next, ok := n.next()
+		next, ok := n.nextDue()
 		if !ok && timeout < 0 {
-			return 0, ErrNothingHappens
+			return 0, ErrNoEvents
 		}
 		if !ok || next > deadline {
 			n.now = deadline
@@ -147,7 +147,7 @@
 	}
 }
 
-// runPeers runs what is due, and all that happens while the process is not run.
+// runPeers runs the callbacks that are due, and those that become due while the process is stalled.
 func (k *Kernel) runPeers() {
 	k.network.runDue()
 	for k.stall > 0 {
@@ -157,8 +157,9 @@
 	}
 }
 
-// ready enters what is ready, in an order drawn by chance: epoll promises none.
-func (k *Kernel) ready(events []unix.EpollEvent) int {
+// collectReady fills events with the ready descriptors and returns their number. Their order is random, as epoll
+// guarantees none.
+func (k *Kernel) collectReady(events []unix.EpollEvent) int {
 	found := events[:0:len(events)]
 	if k.woken {
 		found = append(found, unix.EpollEvent{Fd: wakeupFD, Events: unix.EPOLLIN})
@@ -167,7 +168,7 @@
 		if s == nil || !s.watched || len(found) == cap(found) {
 			continue
 		}
-		if happened := s.events() & (s.watchedFor | unix.EPOLLERR | unix.EPOLLHUP); happened != 0 {
+		if happened := s.events() & (s.watchedEvents | unix.EPOLLERR | unix.EPOLLHUP); happened != 0 {
 			found = append(found, unix.EpollEvent{Fd: int32(s.fd), Events: happened})
 		}
 	}
@@ -175,7 +176,7 @@
 	return len(found)
 }
 
-// lookup returns an open socket; nil where there is none.
+// lookup returns the socket of a descriptor, or nil if the descriptor is not open.
 func (k *Kernel) lookup(fd int) *socket {
 	if fd < firstSocketFD || fd >= firstSocketFD+len(k.sockets) {
 		return nil
@@ -183,8 +184,8 @@
 	return k.sockets[fd-firstSocketFD]
 }
 
-// open makes a socket with the lowest descriptor that is free.
-func (k *Kernel) open() (*socket, error) {
+// openSocket returns a new socket with the lowest free descriptor.
+func (k *Kernel) openSocket() (*socket, error) {
 	if k.OpenDescriptors() >= k.Limit {
 		return nil, unix.EMFILE
 	}
--- a/internal/testbed/simnet/network.go
+++ b/internal/testbed/simnet/network.go
@@ -11,23 +11,23 @@
 	minDelay = 20 * time.Microsecond
 	maxDelay = 2 * time.Millisecond
 
-	splitOneIn       = 4 // writes that arrive in two parts
-	smallBufferOneIn = 4 // connections whose buffer towards the peer is small
+	splitOneIn       = 4 // one write in this many arrives in two parts
+	smallBufferOneIn = 4 // one connection in this many has a small buffer towards the peer
 	smallBuffer      = 64
 	largeBuffer      = 64 << 10
 )
 
-// Network is the clock, the connections and the chance of one simulation.
+// Network holds the clock, the scheduled callbacks and the random number generator of one simulation.
 type Network struct {
 	now       time.Duration // since the simulation began
 	random    *rand.Rand
 	scheduled schedule
-	sequence  uint64 // of the last callback scheduled
+	sequence  uint64 // number of the last callback scheduled
 	endpoints map[netip.AddrPort]*Endpoint
 	listeners map[netip.AddrPort]*socket
 }
 
-// New makes a network whose chance is determined by a seed.
+// New returns a network whose random choices are determined by a seed.
 func New(seed uint64) *Network {
 	return &Network{
 		random:    rand.New(rand.NewPCG(seed, 0)),
@@ -36,42 +36,42 @@
 	}
 }
 
-// Now is the time since the simulation began.
+// Now returns the time since the simulation began.
 func (n *Network) Now() time.Duration { return n.now }
 
-// After schedules a callback. Those of one moment run in the order of the calls.
+// After schedules a callback. Callbacks due at the same time run in the order of the calls.
 func (n *Network) After(delay time.Duration, callback func()) {
 	n.sequence++
 	heap.Push(&n.scheduled, scheduledCall{n.now + max(0, delay), n.sequence, callback})
 }
 
-// next is when the next callback is due; false where there is none.
-func (n *Network) next() (time.Duration, bool) {
+// nextDue returns when the next callback is due, and false if there is none.
+func (n *Network) nextDue() (time.Duration, bool) {
 	if len(n.scheduled) == 0 {
 		return 0, false
 	}
 	return n.scheduled[0].at, true
 }
 
-// runDue runs the callbacks whose time has come, those that they schedule for this moment included.
+// runDue runs the callbacks that are due, including those that they schedule for the current time.
 func (n *Network) runDue() {
 	for len(n.scheduled) > 0 && n.scheduled[0].at <= n.now {
-		call, _ := heap.Pop(&n.scheduled).(scheduledCall) // it holds nothing else
+		call, _ := heap.Pop(&n.scheduled).(scheduledCall) // the heap holds no other type
 		call.callback()
 	}
 }
 
-// RunFor lets time pass for the peers alone, without a process.
+// RunFor runs the callbacks of a span of time while no process runs.
 func (n *Network) RunFor(span time.Duration) {
 	end := n.now + span
-	for at, ok := n.next(); ok && at <= end; at, ok = n.next() {
+	for at, ok := n.nextDue(); ok && at <= end; at, ok = n.nextDue() {
 		n.now = max(n.now, at)
 		n.runDue()
 	}
 	n.now = max(n.now, end)
 }
 
-// delay draws how long something is on its way.
+// delay returns a random transit time.
 func (n *Network) delay() time.Duration {
 	return minDelay + time.Duration(n.random.Int64N(int64(maxDelay-minDelay)))
 }
@@ -85,7 +85,7 @@
 	callback func()
 }
 
-// schedule is a heap of callbacks, the next one first.
+// schedule is a heap of callbacks with the earliest on top.
 type schedule []scheduledCall
 
 func (s schedule) Len() int { return len(s) }
--- a/internal/testbed/simnet/peer.go
+++ b/internal/testbed/simnet/peer.go
@@ -7,37 +7,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Chunk is some of what the process has written on a connection.
+// Chunk is a part of the bytes that the process has written on a connection.
 type Chunk struct {
 	Data      []byte
 	WrittenAt time.Duration
-	Iteration int  // of Kernel.Wait, in which it was written
-	Congested bool // the write before it did not fit in the buffer
+	Iteration int  // Kernel.Iteration at the time of the write
+	Congested bool // the previous write did not fit in the buffer
 }
 
-// PeerHandler is the state machine of a peer of the process. Its methods are called while the process waits.
+// PeerHandler handles the events of a peer's end of a connection. Its methods are called while the process waits.
 type PeerHandler interface {
 	// Connected is called once, when the connection is established.
 	Connected(c *PeerConn)
-	// Received is called with what the process has written, in order.
+	// Received is called with the bytes that the process has written, in order.
 	Received(c *PeerConn, chunk Chunk)
-	// Ended is called once: with io.EOF when the process sends no more, else with the errno. It is not called after
-	// Close and Reset.
+	// Ended is called once: with io.EOF when the process has ended its stream, otherwise with an errno. It is not
+	// called after Close and Reset.
 	Ended(c *PeerConn, reason error)
 }
 
 // Endpoint is an address at which the process can connect to a peer. Its fields may be changed at any time.
 type Endpoint struct {
-	Accept func() PeerHandler // makes the handler of a connection
-	Refuse bool               // connections are refused
-	Silent bool               // they are never answered
-	Delay  time.Duration      // connection attempts arrive so much later
+	Accept func() PeerHandler // returns the handler of a new connection
+	Refuse bool               // connection attempts are refused
+	Silent bool               // connection attempts are never answered
+	Delay  time.Duration      // additional delay of connection attempts
 }
 
-// Listen has the process's connections to an address answered by an endpoint. Where there is none they are refused.
+// Listen sets the endpoint that answers the process's connection attempts to an address. Without one they are refused.
 func (n *Network) Listen(address netip.AddrPort, endpoint *Endpoint) { n.endpoints[address] = endpoint }
 
-// Dial connects a peer to the process.
+// Dial connects a peer to a listener of the process.
 func (n *Network) Dial(address netip.AddrPort, handler PeerHandler) *PeerConn {
 	conn := newConnection(n, handler)
 	n.After(n.delay(), func() {
@@ -56,10 +56,10 @@
 type PeerConn struct {
 	conn    *connection
 	handler PeerHandler
-	ended   bool // the handler is called no more
+	ended   bool // the handler is not called any more
 	paused  bool
-	unread  []Chunk // while paused
-	written int     // bytes
+	unread  []Chunk // chunks that arrived while paused
+	written int     // number of bytes that the peer has written
 }
 
 // Write sends bytes to the process. onRead, if any, is called when the process has read them all.
@@ -69,34 +69,34 @@
 	}
 	p.written += len(data)
 	if onRead != nil {
-		p.conn.marks = append(p.conn.marks, readMark{p.written, onRead})
+		p.conn.readMarks = append(p.conn.readMarks, readMark{p.written, onRead})
 	}
 	p.conn.sendToProcess(data)
 }
 
-// CloseWrite ends what the peer sends; it still receives.
+// CloseWrite ends the peer's stream. The peer still receives.
 func (p *PeerConn) CloseWrite() {
 	if p.conn.toProcess.ended {
 		return
 	}
 	p.conn.toProcess.ended = true
-	p.conn.arrive(&p.conn.toProcess, func() { p.conn.inputEnds = true })
+	p.conn.scheduleArrival(&p.conn.toProcess, func() { p.conn.inputEnds = true })
 }
 
-// Close ends the connection. What the process writes from now on is answered with a reset.
+// Close closes the peer's end. Bytes that arrive from the process afterwards are answered with a reset.
 func (p *PeerConn) Close() {
 	p.ended = true
 	p.CloseWrite()
 }
 
-// Reset ends the connection, and the process receives a reset behind all that was sent.
+// Reset closes the peer's end with a reset, which arrives after all that was sent before.
 func (p *PeerConn) Reset() {
 	p.ended = true
 	p.conn.toProcess.ended = true
-	p.conn.arrive(&p.conn.toProcess, func() { p.conn.reset = true })
+	p.conn.scheduleArrival(&p.conn.toProcess, func() { p.conn.reset = true })
 }
 
-// PauseReading leaves what the process writes unread for a while.
+// PauseReading leaves the bytes from the process unread for a span of time.
 func (p *PeerConn) PauseReading(span time.Duration) {
 	if p.paused {
 		return
@@ -115,17 +115,17 @@
 // IsEnded reports whether the connection has ended for the peer.
 func (p *PeerConn) IsEnded() bool { return p.ended }
 
-// WasAccepted reports whether the process has begun to serve the connection. One that it accepts and closes at once, as
-// it has no descriptors, was not.
+// WasAccepted reports whether the process has begun to serve the connection. It is false for a connection that the
+// process accepted and closed at once for lack of descriptors.
 func (p *PeerConn) WasAccepted() bool { return p.conn.accepted }
 
-// Congested reports whether the process has not written all that it last tried to, as the peer took too little.
+// Congested reports whether the process's last write did not fit in the buffer, because the peer reads too slowly.
 func (p *PeerConn) Congested() bool { return p.conn.toPeer.congested }
 
-// ClosedAt is when the process has closed its end, if it has.
+// ClosedAt returns when the process closed its end, or 0 if it has not.
 func (p *PeerConn) ClosedAt() time.Duration { return p.conn.closedAt }
 
-// Unread is how many of the bytes that the peer has written the process has not read.
+// Unread returns how many of the bytes that the peer has written the process has not read.
 func (p *PeerConn) Unread() int { return p.written - p.conn.bytesRead }
 
 func (p *PeerConn) establish() {
@@ -139,7 +139,7 @@
 		p.unread = append(p.unread, chunk)
 		return
 	}
-	p.conn.toPeer.held -= len(chunk.Data)
+	p.conn.toPeer.buffered -= len(chunk.Data)
 	if p.ended {
 		p.answerWithReset()
 		return
@@ -147,14 +147,14 @@
 	p.handler.Received(p, chunk)
 }
 
-// answerWithReset resets the process's end, as its peer is closed.
+// answerWithReset sends a reset to the process, because the peer's end is closed.
 func (p *PeerConn) answerWithReset() {
-	p.conn.arrive(&p.conn.toProcess, func() { p.conn.reset = true })
+	p.conn.scheduleArrival(&p.conn.toProcess, func() { p.conn.reset = true })
 }
 
-// end tells the handler that the process has ended the connection.
+// end notifies the handler that the process has ended its stream or that the connection failed.
 func (p *PeerConn) end(reason error) {
-	if p.paused { // the end is behind what is unread
+	if p.paused { // the end comes after the unread bytes
 		p.conn.network.After(time.Millisecond, func() { p.end(reason) })
 		return
 	}
--- a/internal/testbed/simnet/simnet_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -21,7 +21,7 @@
 	peerAddr = netip.MustParseAddrPort("10.0.0.2:2")
 )
 
-// recorder is a peer, and a handler of the loop, that writes what happens to a transcript.
+// recorder writes the events of a connection to a transcript, as a handler of a peer or of the loop.
 type recorder struct {
 	name    string
 	network *Network
@@ -29,32 +29,32 @@
 	onRead  func(text string)
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	fmt.Fprintf(r.out, "%v %s ", r.network.Now(), r.name)
 	fmt.Fprintf(r.out, format+"\n", args...)
 }
 
 func (r *recorder) received(text string) {
-	r.note("received %q", text)
+	r.record("received %q", text)
 	if r.onRead != nil {
 		r.onRead(text)
 	}
 }
 
-// peerRecorder and loopRecorder are the two sorts of handlers.
+// peerRecorder and loopRecorder implement the handler of a peer and the handler of the loop.
 type (
 	peerRecorder struct{ *recorder }
 	loopRecorder struct{ *recorder }
 )
 
-func (r peerRecorder) Connected(*PeerConn)                { r.note("connected") }
+func (r peerRecorder) Connected(*PeerConn)                { r.record("connected") }
 func (r peerRecorder) Received(_ *PeerConn, chunk Chunk)  { r.received(string(chunk.Data)) }
-func (r peerRecorder) Ended(_ *PeerConn, reason error)    { r.note("ended: %v", reason) }
-func (r loopRecorder) Opened(*eventloop.Conn)             { r.note("opened") }
+func (r peerRecorder) Ended(_ *PeerConn, reason error)    { r.record("ended: %v", reason) }
+func (r loopRecorder) Opened(*eventloop.Conn)             { r.record("opened") }
 func (r loopRecorder) Read(_ *eventloop.Conn, p []byte)   { r.received(string(p)) }
-func (r loopRecorder) Closed(_ *eventloop.Conn, by error) { r.note("closed: %v", by) }
+func (r loopRecorder) Closed(_ *eventloop.Conn, by error) { r.record("closed: %v", by) }
 
-// simulation is a loop on a network, with a listener whose connections echo what they read.
+// simulation is an event loop on a network, with a listener whose connections echo the bytes that they read.
 type simulation struct {
 	*testing.T
 	network *Network
@@ -72,7 +72,7 @@
 	testutil.NoError(t, err)
 	_, err = s.loop.Listen(loopAddr.String(), func() (eventloop.Handler, int) {
 		return &echo{s.recorder("loop")}, 1 << 20
-	}, func(error) { s.recorder("listener").note("changed") })
+	}, func(error) { s.recorder("listener").record("changed") })
 	testutil.NoError(t, err)
 	return s
 }
@@ -81,7 +81,7 @@
 	return &recorder{name: name, network: s.network, out: &s.out}
 }
 
-// run lets the loop run for a time of the simulation, and checks that no descriptor is left.
+// run runs the loop for a span of simulated time, checks that no descriptor is left open, and returns the transcript.
 func (s *simulation) run(span time.Duration) string {
 	s.Helper()
 	s.network.After(span, s.loop.Stop)
@@ -100,11 +100,11 @@
 
 type echo struct{ *recorder }
 
-func (e *echo) Opened(*eventloop.Conn)                 { e.note("opened") }
-func (e *echo) Read(c *eventloop.Conn, p []byte)       { _ = c.Write(p) } // what is lost shows at the peer
-func (e *echo) Closed(_ *eventloop.Conn, reason error) { e.note("closed: %v", reason) }
+func (e *echo) Opened(*eventloop.Conn)                 { e.record("opened") }
+func (e *echo) Read(c *eventloop.Conn, p []byte)       { _ = c.Write(p) } // the peer checks for lost bytes
+func (e *echo) Closed(_ *eventloop.Conn, reason error) { e.record("closed: %v", reason) }
 
-// All bytes come back in order, whatever the splits and the buffers, and equal seeds give equal runs.
+// All bytes are echoed in order, whatever the splits and the buffer sizes, and equal seeds give equal runs.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	play := func(seed uint64) (transcript, received string) {
 		s := newSimulation(t, seed)
@@ -137,7 +137,7 @@
 	}
 }
 
-// Connections are refused, never answered, answered late, and established, as the endpoint says.
+// Connection attempts are refused, never answered, answered late or accepted, as the endpoint specifies.
 func TestEndpointAnswersConnectionAttempts(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -162,8 +162,8 @@
 	}
 }
 
-// A reset and an end come behind what was sent before.
-func TestEndComesBehindTheBytes(t *testing.T) {
+// A reset and the end of a stream arrive after the bytes that were sent before.
+func TestEndArrivesAfterSentBytes(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(*PeerConn)
@@ -185,8 +185,8 @@
 	}
 }
 
-// Beyond the limit a connection is refused; what is open is served.
-func TestLimitOfDescriptors(t *testing.T) {
+// A connection beyond the descriptor limit is closed at once, and open connections are still served.
+func TestDescriptorLimitRefusesConnections(t *testing.T) {
 	s := newSimulation(t, 1)
 	first, second := s.recorder("first"), s.recorder("second")
 	conn := s.network.Dial(loopAddr, peerRecorder{first})
@@ -200,8 +200,9 @@
 	testutil.Expect(t, strings.Count(transcript, "first received") > 0, "not served:\n%s", transcript)
 }
 
-// What a peer leaves unread holds up the process, and is complete in the end.
-func TestUnreadBytesHoldTheProcessUp(t *testing.T) {
+// While a peer does not read, the process cannot write more than fits in the buffer. Once the peer reads again, it
+// receives all bytes.
+func TestUnreadBytesBlockFurtherWrites(t *testing.T) {
 	s := newSimulation(t, 1)
 	var received strings.Builder
 	peer := s.recorder("peer")
@@ -217,7 +218,7 @@
 	testutil.Expect(t, received.String() == text, "%d bytes received", received.Len())
 }
 
-// A process that is killed writes nothing more, and its peers are reset.
+// A killed process writes nothing more, and its peers receive a reset.
 func TestKilledProcessResetsItsPeers(t *testing.T) {
 	s := newSimulation(t, 1)
 	conn := s.network.Dial(loopAddr, peerRecorder{s.recorder("peer")})
--- a/internal/testbed/simnet/sockets.go
+++ b/internal/testbed/simnet/sockets.go
@@ -7,22 +7,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// socket is what a descriptor of the process stands for.
+// socket is the state of an open descriptor of the process.
 type socket struct {
-	fd         int
-	watched    bool
-	watchedFor uint32 // events
+	fd            int
+	watched       bool
+	watchedEvents uint32 // epoll events that the process watches for
 
 	address   netip.AddrPort // of a listener, or of the peer
 	listening bool
 	backlog   []*connection // of a listener
 
-	conn         *connection // nil where there is none, or not yet
-	connectError error       // pending
+	conn         *connection // nil if the socket is not connected
+	connectError error       // pending error of a connection attempt
 	resetOnClose bool
 }
 
-// events are those that have happened, as epoll reports them.
+// events returns the pending events of a socket, as epoll reports them.
 func (s *socket) events() uint32 {
 	switch {
 	case s.listening:
@@ -40,7 +40,7 @@
 	return s.conn.events()
 }
 
-// events are those of an established connection.
+// events returns the pending events of an established connection.
 func (c *connection) events() uint32 {
 	var events uint32
 	if len(c.input) > 0 {
@@ -65,7 +65,7 @@
 func (k *Kernel) OpenSpare() (int, error) { return k.openFD() }
 
 func (k *Kernel) openFD() (int, error) {
-	s, err := k.open()
+	s, err := k.openSocket()
 	if err != nil {
 		return -1, err
 	}
@@ -133,7 +133,7 @@
 	if len(listener.backlog) == 0 {
 		return -1, nil, unix.EAGAIN
 	}
-	s, err := k.open()
+	s, err := k.openSocket()
 	if err != nil {
 		return -1, nil, err
 	}
