--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -47,26 +47,26 @@
 	if m == nil {
 		return
 	}
-	terms := &r.header.Config
+	config := &r.header.Config
 	start := r.starts[m.key()]
-	if start == nil || !start.knownBy[s.name] || now.at >= start.startedAt+terms.SlowStartPeriod {
+	if start == nil || !start.knownBy[s.name] || now.at >= start.startedAt+config.SlowStartPeriod {
 		return
 	}
 	start.sends = append(start.sends, now)
-	windowStart := now.at - terms.SlowStartWindow
+	windowStart := now.at - config.SlowStartWindow
 	for start.sends[0].at <= windowStart {
 		start.sends = start.sends[1:]
 	}
 	counted := start.sends
-	if len(counted) > terms.SlowStartBudget {
+	if len(counted) > config.SlowStartBudget {
 		counted = slices.DeleteFunc(slices.Clone(counted), func(sent entryTime) bool {
 			return r.report.inTime(sent, windowStart)
 		})
 	}
 	offers := len(counted)
 	r.report.SlowStartPeak = max(r.report.SlowStartPeak, offers)
-	r.report.SlowStartBudget = terms.SlowStartBudget
-	if offers <= terms.SlowStartBudget {
+	r.report.SlowStartBudget = config.SlowStartBudget
+	if offers <= config.SlowStartBudget {
 		return
 	}
 	var evidence []string
@@ -75,5 +75,5 @@
 	}
 	r.report.violate(RuleSlowStart, now.at, evidence,
 		"machine %s, in slow start since %.1f ms, gets %d offers in %.1f ms, budget %d; last sender %s", machine,
-		milliseconds(start.startedAt), offers, milliseconds(terms.SlowStartWindow), terms.SlowStartBudget, s.name)
+		milliseconds(start.startedAt), offers, milliseconds(config.SlowStartWindow), config.SlowStartBudget, s.name)
 }
--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -54,12 +54,12 @@
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(c.Seed, 3))
-	held := model{}
-	commits := []commitPoint{{state: held.encode()}}
+	expected := model{}
+	commits := []commitPoint{{state: expected.encode()}}
 	for n := range c.Commits {
 		changes := randomChanges(n, r)
-		held.apply(changes)
-		commit := commitPoint{state: held.encode(), firstOperation: fs.OperationCount(), durable: r.IntN(3) > 0}
+		expected.apply(changes)
+		commit := commitPoint{state: expected.encode(), firstOperation: fs.OperationCount(), durable: r.IntN(3) > 0}
 		done := make(chan error, 1)
 		log.Commit(changes, commit.durable, func(err error) {
 			commit.lastOperation = fs.OperationCount()
@@ -107,24 +107,24 @@
 }
 
 func encodeState(s *wal.State) string {
-	held := model{}
+	state := model{}
 	for _, kind := range s.Kinds() {
 		_ = s.ForEach(kind, func(key string, value []byte) error { // fails only if the callback does, which it does not
-			held[kind+"/"+key] = string(value)
+			state[kind+"/"+key] = string(value)
 			return nil
 		})
 	}
-	return held.encode()
+	return state.encode()
 }
 
 // recoverState recovers the log of a folder and returns its encoded state.
-func (c *Check) recoverState(d *faultfs.FS) (string, error) {
-	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
+func (c *Check) recoverState(fs *faultfs.FS) (string, error) {
+	log, _, err := wal.Open(fs, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
 	if err != nil {
 		return "", err
 	}
-	held := encodeState(s.State())
-	return held, s.Close()
+	state := encodeState(log.State())
+	return state, log.Close()
 }
 
 // Add adds the counts of another check.
@@ -146,11 +146,11 @@
 
 func newCrashPoint(after int, commits []commitPoint) crashPoint {
 	point := crashPoint{after: after, commits: commits}
-	for i, m := range commits {
-		if i > 0 && m.lastOperation <= after && m.durable {
+	for i, commit := range commits {
+		if i > 0 && commit.lastOperation <= after && commit.durable {
 			point.minCommit = i
 		}
-		if i > 0 && m.firstOperation < after {
+		if i > 0 && commit.firstOperation < after {
 			point.maxCommit = i
 		}
 	}
@@ -159,20 +159,20 @@
 
 // Run makes the check and returns the first violation, or nil.
 func (c *Check) Run() error {
-	d := faultfs.New()
-	d.IgnoreSync = c.Sabotage == SabotageSync
-	commits, err := c.commitHistory(d)
+	fs := faultfs.New()
+	fs.IgnoreSync = c.Sabotage == SabotageSync
+	commits, err := c.commitHistory(fs)
 	if err != nil {
 		return err
 	}
-	c.Operations = d.OperationCount()
+	c.Operations = fs.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
 	for after := 0; after <= c.Operations; after++ {
-		if err := c.checkCrashPoint(d, newCrashPoint(after, commits), r); err != nil {
+		if err := c.checkCrashPoint(fs, newCrashPoint(after, commits), r); err != nil {
 			return err
 		}
 	}
-	return c.flipBits(d, commits, r)
+	return c.flipBits(fs, commits, r)
 }
 
 // secondCrashInterval is the interval of operations at which the recovery of every state is crashed; after the other
@@ -181,13 +181,13 @@
 
 // checkCrashPoint recovers from the states that a crash may leave: all unsynced data lost, all of it kept, and random
 // states between.
-func (c *Check) checkCrashPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
+func (c *Check) checkCrashPoint(fs *faultfs.FS, point crashPoint, r *rand.Rand) error {
 	survivals := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
 	for range c.RandomStates {
 		survivals = append(survivals, faultfs.KeepSome(r))
 	}
 	for n, survival := range survivals {
-		crashed := d.Crash(point.after, survival)
+		crashed := fs.Crash(point.after, survival)
 		before := crashed.OperationCount()
 		recovered, err := c.recoverState(crashed)
 		if err != nil {
@@ -260,29 +260,29 @@
 
 // flipBits flips single bits in the files of a cleanly closed log. Recovery must detect each flip, except in the last
 // group: a damaged last group cannot be told from one that a crash truncated, and recovery returns the state before it.
-func (c *Check) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
-	names, err := d.List()
+func (c *Check) flipBits(fs *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
+	names, err := fs.List()
 	if err != nil {
 		return err
 	}
 	last := len(commits) - 1
 	for _, name := range names {
-		p, err := d.Read(name)
+		data, err := fs.Read(name)
 		if err != nil {
 			return err
 		}
 		for range 40 * c.RandomStates {
-			bit := r.IntN(8 * len(p))
-			left := d.Crash(c.Operations, faultfs.KeepUnsynced)
-			if err := left.FlipBit(name, bit); err != nil {
+			bit := r.IntN(8 * len(data))
+			damaged := fs.Crash(c.Operations, faultfs.KeepUnsynced)
+			if err := damaged.FlipBit(name, bit); err != nil {
 				return err
 			}
-			held, err := c.recoverState(left)
+			recovered, err := c.recoverState(damaged)
 			c.BitFlips++
 			switch {
 			case err != nil:
 				c.Refused++
-			case held != commits[last].state && held != commits[last-1].state:
+			case recovered != commits[last].state && recovered != commits[last-1].state:
 				return fmt.Errorf(
 					"bit %d of %s flipped: recovered without an error, but committed changes are missing",
 					bit,
--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -44,7 +44,7 @@
 	mayRun          bool
 	zone            int
 	rackGroup       int
-	locationUnknown bool // its machine has been in no list, so its zone and rack group are unknown
+	locationUnknown bool // no machine list has named its machine, so its zone and rack group are unknown
 }
 
 type machine struct {
--- a/internal/testbed/modelcheck/events.go
+++ b/internal/testbed/modelcheck/events.go
@@ -63,9 +63,9 @@
 	batched   bool
 }
 
-func parseEvent(word string) event {
-	word, batched := strings.CutPrefix(word, batchPrefix)
-	fields := strings.Fields(word)
+func parseEvent(text string) event {
+	text, batched := strings.CutPrefix(text, batchPrefix)
+	fields := strings.Fields(text)
 	target := fields[len(fields)-1]
 	return event{
 		kind:      eventKind(fields[0]),
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -15,7 +15,7 @@
 	w := World{
 		Schedulers:   1,
 		DrainGrace:   250 * scheduler.Millisecond,
-		NewScheduler: func(t scheduler.Config) Decider { return scheduler.New(t) },
+		NewScheduler: func(config scheduler.Config) Decider { return scheduler.New(config) },
 		Config: scheduler.Config{
 			Seed:             7,
 			CoresOvercommit:  2,
@@ -33,16 +33,16 @@
 			ResyncInterval:   10 * scheduler.Second,
 		},
 	}
-	for _, l := range []scheduler.WorkloadClass{
+	for _, class := range []scheduler.WorkloadClass{
 		{Idempotency: scheduler.Idempotent},
 		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: scheduler.Second},
 		{Idempotency: scheduler.AtMostOnce},
 		{Idempotency: scheduler.Idempotent, SpreadScope: scheduler.ScopeZone, MaxPerScope: 1},
 		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeFleet, DedupWindow: scheduler.Second},
 	} {
-		l.MachineType, l.PriorityWeight = -1, 1
-		l.LatencyObjective, l.PlacementTimeout = scheduler.Second, 3*scheduler.Second
-		w.Config.WorkloadClasses = append(w.Config.WorkloadClasses, l)
+		class.MachineType, class.PriorityWeight = -1, 1
+		class.LatencyObjective, class.PlacementTimeout = scheduler.Second, 3*scheduler.Second
+		w.Config.WorkloadClasses = append(w.Config.WorkloadClasses, class)
 	}
 	for i, id := range []scheduler.MachineID{"a", "b", "c"} {
 		machine := scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10}
@@ -52,17 +52,17 @@
 }
 
 func (w World) withRequests(workloads ...int) World {
-	for i, l := range workloads {
+	for i, class := range workloads {
 		w.Requests = append(w.Requests, scheduler.PlacementRequest{
-			ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", WorkloadClass: l, Cores: 1, Memory: 1,
+			ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", WorkloadClass: class, Cores: 1, Memory: 1,
 			Deadline: 3 * scheduler.Second,
 		})
 	}
 	return w
 }
 
-func (w World) withEvents(words string) World {
-	w.Events = strings.Split(words, ", ")
+func (w World) withEvents(text string) World {
+	w.Events = strings.Split(text, ", ")
 	return w
 }
 
--- a/internal/testbed/modelcheck/simulation_events.go
+++ b/internal/testbed/modelcheck/simulation_events.go
@@ -9,17 +9,17 @@
 // possibleEvents returns the events of World.Events that can happen now.
 func (s *simulation) possibleEvents() []string {
 	var possible []string
-	for _, word := range s.Events {
-		if s.isPossible(parseEvent(word)) {
-			possible = append(possible, word)
+	for _, text := range s.Events {
+		if s.isPossible(parseEvent(text)) {
+			possible = append(possible, text)
 		}
 	}
 	if !s.Batches || len(s.batched) > 0 {
 		return possible
 	}
-	for _, word := range slices.Clone(possible) {
-		if parseEvent(word).mayBeBatched() {
-			possible = append(possible, batchPrefix+word)
+	for _, text := range slices.Clone(possible) {
+		if parseEvent(text).mayBeBatched() {
+			possible = append(possible, batchPrefix+text)
 		}
 	}
 	return possible
@@ -96,9 +96,9 @@
 
 // adoptContainer has the first scheduler adopt a container that was found running on a machine.
 func (s *simulation) adoptContainer(e event) {
-	like := s.Requests[0]
+	template := s.Requests[0]
 	found := scheduler.PlacementRequest{
-		ID: s.newContainerID(), Service: like.Service, WorkloadClass: like.WorkloadClass,
+		ID: s.newContainerID(), Service: template.Service, WorkloadClass: template.WorkloadClass,
 		Cores: 1, Memory: 1,
 	}
 	s.deliver(e, 0, scheduler.ContainerAdopted{PlacementRequest: found, Machine: e.machine})
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -52,15 +52,15 @@
 
 // EnumeratePaths calls play for every path of up to depth choices, until play returns false. play also returns how many
 // choices there were at each step.
-func EnumeratePaths(depth int, play func(path []int) (widths []int, goOn bool)) {
+func EnumeratePaths(depth int, play func(path []int) (widths []int, proceed bool)) {
 	path := make([]int, depth)
 	for {
-		widths, goOn := play(path)
+		widths, proceed := play(path)
 		last := len(widths) - 1
 		for last >= 0 && path[last]+1 >= widths[last] {
 			last--
 		}
-		if !goOn || last < 0 {
+		if !proceed || last < 0 {
 			return
 		}
 		path[last]++
@@ -71,8 +71,8 @@
 // Replay plays one sequence in the format of Result.FailingSequence, and returns its violations.
 func Replay(world World, sequence string) []string {
 	s := newSimulation(world)
-	for word := range strings.SplitSeq(sequence, sequenceSeparator) {
-		s.apply(parseEvent(word))
+	for text := range strings.SplitSeq(sequence, sequenceSeparator) {
+		s.apply(parseEvent(text))
 	}
 	s.finish()
 	return s.checker.Violations
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -36,13 +36,13 @@
 
 // New returns a mutant that breaks the rule with a given number. The error is an *UnknownRuleError.
 func New(rule int, config scheduler.Config, decisions schedulerd.Scheduler) (*Mutant, error) {
-	broken := audit.Rule(rule)
-	if broken < audit.RuleFinalReply || broken > audit.LastRule {
+	brokenRule := audit.Rule(rule)
+	if brokenRule < audit.RuleFinalReply || brokenRule > audit.LastRule {
 		return nil, &UnknownRuleError{Rule: rule}
 	}
 	return &Mutant{
 		Scheduler:  decisions,
-		rule:       broken,
+		rule:       brokenRule,
 		config:     config,
 		machines:   map[scheduler.MachineID]scheduler.MachineEntry{},
 		atMostOnce: map[scheduler.ContainerID]bool{},
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -90,56 +90,56 @@
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // counterpart returns the scenario fault that corresponds most closely; ok reports whether there is one.
-func (d *simulatedDay) counterpart(t *simulatedFault) (f faults.Fault, ok bool) {
-	f = faults.Fault{
-		At:       microseconds(t.At),
-		Duration: microseconds(t.Duration),
-		Size:     t.Size,
-		Fraction: float64(len(t.On)) / float64(len(d.Servers)),
+func (d *simulatedDay) counterpart(simulated *simulatedFault) (fault faults.Fault, ok bool) {
+	fault = faults.Fault{
+		At:       microseconds(simulated.At),
+		Duration: microseconds(simulated.Duration),
+		Size:     simulated.Size,
+		Fraction: float64(len(simulated.On)) / float64(len(d.Servers)),
 	}
-	switch t.Kind {
+	switch simulated.Kind {
 	case "mass_restart":
-		f.Kind = faults.KindCrash
+		fault.Kind = faults.KindCrash
 	case "vanish":
-		f.Kind = faults.KindFreezeAndRestart
+		fault.Kind = faults.KindFreezeAndRestart
 	case "slow":
-		f.Kind = faults.KindSlow
+		fault.Kind = faults.KindSlow
 	case "grow", "deploy":
-		d.setStepwise(t, &f)
+		d.setStepwise(simulated, &fault)
 	case "class_fail":
-		f.Kind, f.Size = faults.KindWorkloadIgnored, float64(t.Which)
+		fault.Kind, fault.Size = faults.KindWorkloadIgnored, float64(simulated.Which)
 	case "throttle":
-		f.Kind, f.Size = faults.KindTenantThrottled, float64(t.Which)
+		fault.Kind, fault.Size = faults.KindTenantThrottled, float64(simulated.Which)
 	case "burst":
-		f.Kind = faults.KindBurst
+		fault.Kind = faults.KindBurst
 	case "heavy_tail":
-		f.Kind, f.Fraction, f.Size = faults.KindMemoryGrowth, 0.5, 1.6
+		fault.Kind, fault.Fraction, fault.Size = faults.KindMemoryGrowth, 0.5, 1.6
 	case "reconnect":
-		f.Kind, f.Fraction = faults.KindClientRetries, t.Size
+		fault.Kind, fault.Fraction = faults.KindClientRetries, simulated.Size
 	case "balancer_crash":
-		f.Kind, f.Fraction = faults.KindSchedulersKilled, float64(len(t.On))/float64(len(d.Schedulers))
+		fault.Kind, fault.Fraction = faults.KindSchedulersKilled, float64(len(simulated.On))/float64(len(d.Schedulers))
 	case "discovery_down":
-		f.Kind = faults.KindListUnavailable
+		fault.Kind = faults.KindListUnavailable
 	case "discovery_stale":
-		f.Kind, f.Size = faults.KindListStale, min(10, max(2, t.Size))
+		fault.Kind, fault.Size = faults.KindListStale, min(10, max(2, simulated.Size))
 	case "answer_lost":
-		f.Kind, f.Size = faults.KindLostAccepts, min(0.9, t.Size)
+		fault.Kind, fault.Size = faults.KindLostAccepts, min(0.9, simulated.Size)
 	default:
-		return f, false
+		return fault, false
 	}
-	return f, true
+	return fault, true
 }
 
 // setStepwise sets the kind, fraction and size of a fault that starts machines in steps.
-func (d *simulatedDay) setStepwise(t *simulatedFault, f *faults.Fault) {
+func (d *simulatedDay) setStepwise(simulated *simulatedFault, fault *faults.Fault) {
 	const largestFraction = 0.9
 	started := 0
-	for _, step := range t.Steps {
+	for _, step := range simulated.Steps {
 		started += len(step.Start)
 	}
-	f.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
-	f.Kind, f.Size = faults.KindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
-	if t.Kind == "grow" {
-		f.Kind = faults.KindFleetGrowth
+	fault.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
+	fault.Kind, fault.Size = faults.KindRollingDeploy, 1/float64(max(1, len(simulated.Steps)))*fault.Fraction
+	if simulated.Kind == "grow" {
+		fault.Kind = faults.KindFleetGrowth
 	}
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -31,11 +31,11 @@
 		if err != nil {
 			panic(err)
 		}
-		h, err := schedulerd.New(s, scheduler.New(s.Policy), slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		instance, err := schedulerd.New(s, scheduler.New(s.Policy), slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		if err != nil {
 			panic(err)
 		}
-		if err := h.Run(); err != nil {
+		if err := instance.Run(); err != nil {
 			panic(err)
 		}
 		return
@@ -83,23 +83,23 @@
 	c, err := cluster.Start(s.Spec, dir, []string{os.Args[0], schedulerArgument})
 	testutil.NoError(t, err)
 	defer c.Shutdown()
-	p := c.Schedulers[0]
+	schedulerProcess := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 attempts are open", func() bool {
-		stats, err := p.Status()
+		stats, err := schedulerProcess.Status()
 		return err == nil && stats["bids"] > 500 && stats["containers running"] > 20 &&
 			stats["containers known"]-stats["containers running"] > 500
 	})
 	c.Clients.SetRate(0)
-	c.KillScheduler(p)
+	c.KillScheduler(schedulerProcess)
 	ran := 0
 	for _, m := range c.Machines {
 		status, _ := m.Status()
 		ran += status.Running
 	}
-	testutil.NoError(t, c.StartScheduler(p))
+	testutil.NoError(t, c.StartScheduler(schedulerProcess))
 	requireWithin30s(t, "the running containers are adopted", func() bool {
-		stats, err := p.Status()
+		stats, err := schedulerProcess.Status()
 		return err == nil && int(stats["containers taken over"]) >= ran
 	})
 	requireWithin30s(t, "the lost requests are retried and answered", func() bool {
--- a/internal/testbed/simulation/machine.go
+++ b/internal/testbed/simulation/machine.go
@@ -13,7 +13,7 @@
 	simCachedImages     = 12
 )
 
-// simMachine is a plain model of a machine.
+// simMachine is a simple model of a machine.
 type simMachine struct {
 	simulation  *Simulation
 	id          scheduler.MachineID
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -59,7 +59,8 @@
 
 func (d Damping) String() string { return [...]string{"none", "exponential", "glenport"}[d] }
 
-// SimSecond counts the results of the containers whose first try was in one second, except for Retried and Placed.
+// SimSecond counts, for the containers whose first try was in one second, the results of all their tries. Retried and
+// Placed are counted in the second in which they happen.
 type SimSecond struct {
 	Submitted, Retried, InTime, Late, Shed, Rejected, Failed, Abandoned int
 	// Placed counts the containers placed in this second within the latency objective, whenever their first try was.
@@ -160,7 +161,7 @@
 	}
 }
 
-// Run plays the simulation to its end.
+// Run runs the simulation to its end.
 func (sim *Simulation) Run() {
 	sim.rng = rand.New(rand.NewPCG(sim.Seed, 41))
 	sim.config = simConfig(sim.Schedulers)
@@ -173,14 +174,14 @@
 	for i := range sim.Schedulers {
 		config := sim.config
 		config.SchedulerIndex, config.Seed = i, sim.Seed*1000+uint64(i)
-		p := &simScheduler{simulation: sim, config: config}
-		sim.instances = append(sim.instances, p)
-		p.start()
+		instance := &simScheduler{simulation: sim, config: config}
+		sim.instances = append(sim.instances, instance)
+		instance.start()
 	}
 	if sim.SchedulersRestartAt > 0 {
 		sim.schedule(sim.SchedulersRestartAt, func() {
-			for _, p := range sim.instances {
-				p.restart()
+			for _, instance := range sim.instances {
+				instance.restart()
 			}
 		})
 	}
@@ -216,15 +217,15 @@
 
 // restartMachines takes machines down together and brings them back. The machine list reports both with a delay.
 func (sim *Simulation) restartMachines() {
-	which := map[scheduler.MachineID]bool{}
+	crashed := map[scheduler.MachineID]bool{}
 	for i := range min(sim.Restart, len(sim.fleet)) {
 		m := sim.fleet[i]
-		which[m.id] = true
+		crashed[m.id] = true
 		m.crash()
 	}
 	report := func() {
-		for _, p := range sim.instances {
-			p.handle(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: sim.machineList(which)})
+		for _, instance := range sim.instances {
+			instance.handle(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: sim.machineList(crashed)})
 		}
 	}
 	sim.schedule(scheduler.Second, report)
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 )
 
 func runSimulation(d Damping) (*Simulation, Recovery) {
-	w := &Simulation{
+	sim := &Simulation{
 		Seed:       1,
 		Schedulers: 2,
 		Machines:   12,
@@ -20,17 +20,17 @@
 		RestartAt:  8 * scheduler.Second,
 		DownFor:    2 * scheduler.Second,
 	}
-	w.Run()
-	return w, EvaluateRecovery(w.Goodput(), 8)
+	sim.Run()
+	return sim, EvaluateRecovery(sim.Goodput(), 8)
 }
 
 // With a concurrency limit a small fleet recovers from a restart. Without one, retries keep the fleet overloaded after
 // the machines are back. Equal seeds give equal outcomes.
 func TestConcurrencyLimitRecoversFromFleetRestart(t *testing.T) {
-	w, limited := runSimulation(Limited)
+	sim, limited := runSimulation(Limited)
 	_, undamped := runSimulation(NoDamping)
 	again, _ := runSimulation(Limited)
-	testutil.Expect(t, fmt.Sprint(w.Seconds) == fmt.Sprint(again.Seconds), "equal seeds gave different outcomes")
+	testutil.Expect(t, fmt.Sprint(sim.Seconds) == fmt.Sprint(again.Seconds), "equal seeds gave different outcomes")
 	if limited.SecondsToRecover < 0 || limited.Lost >= undamped.Lost {
 		t.Errorf("limited: %s; undamped: %s", limited, undamped)
 	} else {
