--- a/internal/testbed/modelcheck/events.go
+++ b/internal/testbed/modelcheck/events.go
@@ -57,8 +57,8 @@
 // event is one event of a sequence.
 type event struct {
 	kind      eventKind
-	container scheduler.ContainerID // the target, as a container or a machine by the kind
-	machine   scheduler.MachineID
+	container scheduler.ContainerID // the last word, for events of a container
+	machine   scheduler.MachineID   // the last word, for events of a machine
 	late      bool
 	batched   bool
 }
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// checkReject checks a rejection. It promises that the container does not run, unless it may run again anywhere.
+// checkReject checks that no attempt of a rejected container may have run, unless the container may run again anywhere.
 func (c *Checker) checkReject(in *incarnation, id scheduler.ContainerID) {
-	container, owed := c.recordReply(in, id)
-	if !owed {
+	container, due := c.recordReply(in, id)
+	if !due {
 		return
 	}
 	class := c.config.WorkloadClasses[container.request.WorkloadClass]
@@ -55,7 +55,7 @@
 }
 
 // recordReply checks that a final reply is due, and records it.
-func (c *Checker) recordReply(in *incarnation, id scheduler.ContainerID) (found *container, owed bool) {
+func (c *Checker) recordReply(in *incarnation, id scheduler.ContainerID) (found *container, due bool) {
 	found = in.containers[id]
 	if found == nil || found.replied {
 		c.violate(audit.RuleFinalReply, "%s gets a reply but none is due", id)
@@ -68,7 +68,7 @@
 func (c *Checker) checkAttempt(in *incarnation, now scheduler.Time, start scheduler.StartAttempt) {
 	container, m := in.containers[start.ID], in.machines[start.Machine]
 	if container == nil || container.replied || container.settled {
-		c.violate(audit.RuleFinalReply, "%s is offered to %s after its final reply", start.ID, start.Machine)
+		c.violate(audit.RuleFinalReply, "%s is offered to %s without an open request", start.ID, start.Machine)
 		return
 	}
 	if m == nil {
--- a/internal/testbed/scenario/schema.go
+++ b/internal/testbed/scenario/schema.go
@@ -13,7 +13,7 @@
 	Schedulers strictyaml.Count      `yaml:"scheduler_count"`        // at least one
 	Template   strictyaml.String     `yaml:"scheduler_config"`       // relative to the folder of this file
 	Rate       strictyaml.Float      `yaml:"submissions_per_second"` // of all clients
-	DrainGrace strictyaml.Duration   `yaml:"drain_grace"`            // offers so soon after a drain are no violation
+	DrainGrace strictyaml.Duration   `yaml:"drain_grace"`            // grace period for offers after a drain
 	Slack      strictyaml.Duration   `yaml:"slack"`                  // tolerance of the audit for recorded times
 	Zones      []strictyaml.String   `yaml:"zones"`                  // at least one
 	Machines   []machineGroupSection `yaml:"machines"`               // at least one
@@ -35,7 +35,7 @@
 	MaxQueuedOffers  strictyaml.Count    `yaml:"max_queued_offers"`
 	ConcurrentStarts strictyaml.Count    `yaml:"concurrent_starts"`
 	StartTime        strictyaml.Duration `yaml:"start_time"`
-	ImageMissFactor  strictyaml.Float    `yaml:"image_miss_factor"` // of the start time of an uncached image
+	ImageMissFactor  strictyaml.Float    `yaml:"image_miss_factor"` // factor for starts without a cached image
 	CachedImages     strictyaml.Count    `yaml:"cached_images"`
 	SlowStart        slowStartSection    `yaml:"slow_start"`
 	MemoryDrift      strictyaml.Float    `yaml:"memory_drift"` // drift of the memory that a container uses
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -29,11 +29,11 @@
 )
 
 // Kernel implements eventloop.Kernel for one process on a network. The clock moves while the process waits, and by a
-// small step at the begin of each Wait, which stands for the work of the process.
+// small step at the beginning of each Wait, which stands for the work of the process.
 type Kernel struct {
 	// Limit is the maximum number of open descriptors. Lowering it closes none.
 	Limit int
-	// OnWait, if set, is called at the begin of each Wait. Its error is returned by Wait and ends the process.
+	// OnWait, if set, is called at the beginning of each Wait. Its error is returned by Wait and ends the process.
 	OnWait func() error
 
 	network   *Network
