--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -19,7 +19,7 @@
 // The five rules.
 const (
 	RuleFinalReply   Rule = 1 + iota // each request gets one final reply in time
-	RuleDuplicateRun                 // no container runs twice that must not
+	RuleDuplicateRun                 // no container runs twice unless its class allows it
 	RuleDraining                     // a machine that is draining or gone gets no offers
 	RuleSlowStart                    // a machine in slow start gets no more offers than its budget
 	RuleSpread                       // no more containers of a service in one scope than allowed
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -40,7 +40,7 @@
 
 // LoadReplay returns a scenario with the faults of a simulated day: the same kinds at the same times, of the same
 // duration and on the same fractions of the fleet. The cluster is that of a scenario file, and the rate is one that a
-// single machine can handle. Faults without a counterpart are left out and written to out.
+// single host can sustain. Faults without a counterpart are left out and named on out.
 func LoadReplay(path, scenarioPath string, rate float64, out io.Writer) (*Scenario, error) {
 	day, err := readSimulatedDay(path)
 	if err != nil {
