--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testbed/report"
 )
 
-// simulatedDay is what a replay takes of a simulated day: its length, its fleet and its faults.
+// simulatedDay is the part of a simulated day that a replay uses: its length, its fleet and its faults.
 type simulatedDay struct {
 	Site       string            `json:"site"`
 	Length     int64             `json:"length"` // microseconds
@@ -38,9 +38,9 @@
 	Stop  []int `json:"stop"`
 }
 
-// LoadReplay makes a scenario of the faults of a simulated day: the same kinds at the same times and for as long, on
-// the same parts of the fleet, with the cluster of a scenario file and a load that one machine bears. What has no
-// counterpart is named and left out.
+// LoadReplay returns a scenario with the faults of a simulated day: the same kinds at the same times, of the same
+// duration and on the same fractions of the fleet. The cluster is that of a scenario file, and the rate is one that a
+// single host can sustain. Faults without a counterpart are left out and named on out.
 func LoadReplay(path, scenarioPath string, rate float64, out io.Writer) (*Scenario, error) {
 	day, err := readSimulatedDay(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 		fault, ok := day.counterpart(simulated)
 		kind, at := simulated.Kind, fault.At.Seconds()
 		if !ok {
-			report.Printf(out, "left out: %s at %.1f s has no counterpart on sockets\n", kind, at)
+			report.Printf(out, "left out: %s at %.1f s has no counterpart in the testbed\n", kind, at)
 			continue
 		}
 		report.Printf(out, "%s at %.1f s is played as %s%s\n", kind, at, fault.Kind, fault.Describe(s.Zones))
@@ -82,64 +82,64 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if day.Length <= 0 || len(day.Servers) == 0 || len(day.Schedulers) == 0 {
-		return nil, fmt.Errorf("%s is no simulated day: it has no length, servers or balancers", path)
+		return nil, fmt.Errorf("%s is not a simulated day: length, servers or balancers are missing", path)
 	}
 	return &day, nil
 }
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// counterpart returns the fault of a scenario that comes closest; ok reports whether there is one.
-func (d *simulatedDay) counterpart(t *simulatedFault) (f faults.Fault, ok bool) {
-	f = faults.Fault{
-		At:       microseconds(t.At),
-		Duration: microseconds(t.Duration),
-		Size:     t.Size,
-		Fraction: float64(len(t.On)) / float64(len(d.Servers)),
+// counterpart returns the scenario fault that corresponds most closely; ok reports whether there is one.
+func (d *simulatedDay) counterpart(simulated *simulatedFault) (fault faults.Fault, ok bool) {
+	fault = faults.Fault{
+		At:       microseconds(simulated.At),
+		Duration: microseconds(simulated.Duration),
+		Size:     simulated.Size,
+		Fraction: float64(len(simulated.On)) / float64(len(d.Servers)),
 	}
-	switch t.Kind {
+	switch simulated.Kind {
 	case "mass_restart":
-		f.Kind = faults.KindCrash
+		fault.Kind = faults.KindCrash
 	case "vanish":
-		f.Kind = faults.KindFreezeAndRestart
+		fault.Kind = faults.KindFreezeAndRestart
 	case "slow":
-		f.Kind = faults.KindSlow
+		fault.Kind = faults.KindSlow
 	case "grow", "deploy":
-		d.stepwise(t, &f)
+		d.setStepwise(simulated, &fault)
 	case "class_fail":
-		f.Kind, f.Size = faults.KindWorkloadIgnored, float64(t.Which)
+		fault.Kind, fault.Size = faults.KindWorkloadIgnored, float64(simulated.Which)
 	case "throttle":
-		f.Kind, f.Size = faults.KindTenantThrottled, float64(t.Which)
+		fault.Kind, fault.Size = faults.KindTenantThrottled, float64(simulated.Which)
 	case "burst":
-		f.Kind = faults.KindBurst
+		fault.Kind = faults.KindBurst
 	case "heavy_tail":
-		f.Kind, f.Fraction, f.Size = faults.KindMemoryGrowth, 0.5, 1.6
+		fault.Kind, fault.Fraction, fault.Size = faults.KindMemoryGrowth, 0.5, 1.6
 	case "reconnect":
-		f.Kind, f.Fraction = faults.KindClientRetries, t.Size
+		fault.Kind, fault.Fraction = faults.KindClientRetries, simulated.Size
 	case "balancer_crash":
-		f.Kind, f.Fraction = faults.KindSchedulersKilled, float64(len(t.On))/float64(len(d.Schedulers))
+		fault.Kind, fault.Fraction = faults.KindSchedulersKilled, float64(len(simulated.On))/float64(len(d.Schedulers))
 	case "discovery_down":
-		f.Kind = faults.KindListUnavailable
+		fault.Kind = faults.KindListUnavailable
 	case "discovery_stale":
-		f.Kind, f.Size = faults.KindListStale, min(10, max(2, t.Size))
+		fault.Kind, fault.Size = faults.KindListStale, min(10, max(2, simulated.Size))
 	case "answer_lost":
-		f.Kind, f.Size = faults.KindLostAccepts, min(0.9, t.Size)
+		fault.Kind, fault.Size = faults.KindLostAccepts, min(0.9, simulated.Size)
 	default:
-		return f, false
+		return fault, false
 	}
-	return f, true
+	return fault, true
 }
 
-// stepwise fills in a fault that starts machines in steps.
-func (d *simulatedDay) stepwise(t *simulatedFault, f *faults.Fault) {
+// setStepwise sets the kind, fraction and size of a fault that starts machines in steps.
+func (d *simulatedDay) setStepwise(simulated *simulatedFault, fault *faults.Fault) {
 	const largestFraction = 0.9
 	started := 0
-	for _, step := range t.Steps {
+	for _, step := range simulated.Steps {
 		started += len(step.Start)
 	}
-	f.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
-	f.Kind, f.Size = faults.KindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
-	if t.Kind == "grow" {
-		f.Kind = faults.KindFleetGrowth
+	fault.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
+	fault.Kind, fault.Size = faults.KindRollingDeploy, 1/float64(max(1, len(simulated.Steps)))*fault.Fraction
+	if simulated.Kind == "grow" {
+		fault.Kind = faults.KindFleetGrowth
 	}
 }
