--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -37,8 +37,8 @@
 	retries        int
 }
 
-// submitAll submits with exponentially distributed intervals, at the rate, until the clients are closed. It pauses while
-// the rate is zero or too many submissions are without a reply.
+// submitAll submits with exponentially distributed intervals, at the rate, until the clients are closed. It pauses
+// while the rate is zero or too many submissions are without a reply.
 func (c *Clients) submitAll() {
 	next := time.Now()
 	for {
