--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// fail ends the connection at once and drops pending output. It notifies the handler unless handlePeerClose has.
+// fail ends the connection at once and drops pending output. It notifies the handler, unless handlePeerClose has
+// notified it already.
 func (c *Conn) fail(reason error) {
 	if c.state == connClosed {
 		return
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -147,7 +147,7 @@
 func (l *Loop) shutdown() {
 	l.posts.close()
 	for _, fd := range slices.Sorted(maps.Keys(l.sources)) {
-		if source := l.sources[fd]; source != nil { // nil: the shutdown of an earlier source has closed it
+		if source := l.sources[fd]; source != nil { // nil: closed during the shutdown of an earlier source
 			source.shutdown()
 		}
 	}
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -28,8 +28,8 @@
 
 // setEvents replaces the events for which a registered descriptor is watched.
 func (l *Loop) setEvents(fd int, events uint32) {
-	// Modifying an entry fails only if the descriptor is not registered. Connections call this only while theirs is. A
-	// listener that its own callback closed may call this once more, without effect.
+	// ChangeWatch fails only if the descriptor is not registered. Connections call setEvents only while their
+	// descriptor is registered. A listener that its own callback closed may call setEvents once more, without effect.
 	_ = l.kernel.ChangeWatch(fd, events)
 }
 
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -59,7 +59,7 @@
 	}
 	sampledAt, sampledCPU := m.sampledAt, m.sampledCPU
 	if m.loop.Elapsed()-sampledAt < cpuSampleInterval {
-		return // too short for a stall to have occurred
+		return // the time since the last sample is too short to contain a stall
 	}
 	m.sample()
 	if max(late, busy) >= stallThreshold {
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -1,14 +1,14 @@
 package eventloop
 
 // After schedules a callback to run once, in the first iteration that begins at least delay ticks after Now. The
-// callback never runs before After has returned. A timer expires at least one tick after the last run of timers: with a
-// delay of 0 or less, the callback runs in this iteration if the clock has advanced since the previous one and timers
-// have not run yet, otherwise in the first iteration at a later tick.
+// callback never runs before After has returned. A timer expires at least one tick after the previous run of timers.
+// With a delay of 0 or less, the callback therefore runs in this iteration if its timers have not run yet and the clock
+// has advanced since the previous iteration. Otherwise it runs in the first iteration at a later tick.
 func (l *Loop) After(delay Tick, callback func()) *Timer {
 	return l.wheel.Schedule(l.now+delay, callback)
 }
 
-// Cancel cancels a timer. It has no effect on nil and on timers that have run or were cancelled.
+// Cancel cancels a timer. It has no effect on a nil timer or on a timer that has run or was cancelled.
 func (l *Loop) Cancel(timer *Timer) { l.wheel.Cancel(timer) }
 
 // TimerCount is the number of timers scheduled and not yet run or cancelled.
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -11,7 +11,7 @@
 type postState uint8
 
 const (
-	postQueueIdle      postState = iota // nothing was posted since take
+	postQueueIdle      postState = iota // no callback is queued
 	postQueueSignalled                  // Wake was called; the loop will take the queue
 	postQueueClosed                     // Run has ended
 )
@@ -60,7 +60,7 @@
 	return taken
 }
 
-// close drops the queued callbacks and makes add refuse new ones. After it the loop is not woken up any more, so the
+// close drops the queued callbacks and makes add refuse new ones. After close, no call of add wakes up the loop, so the
 // poller may be closed.
 func (q *postQueue) close() {
 	q.mu.Lock()
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -29,10 +29,10 @@
 	slot       *slot  // nil: the timer has run or was cancelled; &expiringSlot: it is about to run
 }
 
-// slot holds the timers whose expiry, in base 64, has the digit index at position level.
+// slot holds the timers of one slot of a level: the digit of their expiry in base 64 at position level is index.
 type slot struct {
 	level, index int
-	first        *Timer // the timer inserted last
+	first        *Timer // head of the list: the timer inserted last
 }
 
 // TimerWheel is a hierarchical timing wheel. Each level holds 64 slots, and each slot spans the whole level below.
@@ -59,8 +59,9 @@
 // Len is the number of timers scheduled and not yet run or cancelled.
 func (w *TimerWheel) Len() int { return w.size }
 
-// Schedule schedules a callback, which the first Advance to the time at or later runs, but never an Advance that is in
-// progress. The expiry is limited to half the wheel's span from now, about six years.
+// Schedule schedules a callback for the time at. The first later call of Advance that reaches this time runs the
+// callback; an Advance that is in progress never runs it. The expiry is limited to half the wheel's span from now,
+// about six years.
 func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
 	expiry := min(max(at, w.now+1), w.now+maxSpan/2)
 	timer := &Timer{expiry: expiry, callback: callback}
@@ -130,8 +131,8 @@
 	return nil, 0
 }
 
-// NextExpiry is the time at which Advance next has work, which is never later than the first expiry. scheduled is false
-// on an empty wheel.
+// NextExpiry is the time at which Advance next has to be called: the first expiry, or an earlier time at which timers
+// move to a lower level. scheduled is false on an empty wheel.
 func (w *TimerWheel) NextExpiry() (at Tick, scheduled bool) {
 	s, begin := w.earliestSlot()
 	return begin, s != nil
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -34,7 +34,8 @@
 }
 
 // Lookup asks for the container that runs under an idempotency key; it starts nothing. A PlacementReply answers it:
-// VerdictPlaced with the machine, VerdictRejected if no container runs, VerdictNotAdmitted while that is not certain.
+// VerdictPlaced with the machine, VerdictRejected if no container runs, VerdictNotAdmitted while the scheduler does not
+// know yet.
 type Lookup struct {
 	_              struct{} `cbor:",toarray"`
 	ContainerID    string   `cbor:"Container"`
--- a/internal/protocol/machinelist.go
+++ b/internal/protocol/machinelist.go
@@ -51,7 +51,7 @@
 	FreeMemory  float64      `cbor:"FreeMemory"` // GiB
 	PowerHint   float64      `cbor:"Hint"`
 	Incarnation uint64       `cbor:"Incarnation"` // increases with each start of the machine
-	Age         Duration     `cbor:"Age"`         // since that start; negative: long ago
+	Age         Duration     `cbor:"Age"`         // time since that start; negative: long ago
 }
 
 // MachineListError is sent instead of a MachineListUpdate if the list is not available.
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -19,7 +19,7 @@
 	Address       string   `cbor:"Addr"`
 	ASN           uint32   `cbor:"AS"`
 	State         string   `cbor:"State"`
-	Routes        int      `cbor:"Routes"` // announced
+	Routes        int      `cbor:"Routes"` // number of announced routes
 	PendingRoutes int      `cbor:"Due"`
 	UpdatesSent   int      `cbor:"Updates"`
 	BytesSent     int      `cbor:"Bytes"`
@@ -34,12 +34,12 @@
 	Prefix          string   `cbor:"Prefix"`
 	Announced       bool     `cbor:"Announced"`
 	LocalPreference uint32   `cbor:"Preference"`
-	Running         int      `cbor:"Running"` // containers
+	Running         int      `cbor:"Running"` // number of containers
 	Draining        int      `cbor:"Draining"`
 	MinRunning      int      `cbor:"Least"`
-	Penalty         float64  `cbor:"Penalty"` // of route damping
+	Penalty         float64  `cbor:"Penalty"` // flap damping penalty
 	Suppressed      bool     `cbor:"Suppressed"`
-	NextChangeIn    Duration `cbor:"Next"` // until a change that pacing delays; 0: none is delayed
+	NextChangeIn    Duration `cbor:"Next"` // time until a delayed change is sent; 0: none is delayed
 }
 
 func (*RoutesRequest) kind() kind { return kindRoutesRequest }
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -8,7 +8,7 @@
 // StatusReply holds the stats of a scheduler.
 type StatusReply struct {
 	_     struct{} `cbor:",toarray"`
-	Name  string   `cbor:"Name"` // of the scheduler
+	Name  string   `cbor:"Name"` // name of the scheduler
 	Stats []Stat   `cbor:"Figures"`
 }
 
@@ -48,7 +48,7 @@
 	Eligible           int      `cbor:"Free"`
 	SheddingLoad       bool     `cbor:"Yielding"`
 	FullRatio          float64  `cbor:"NoRoomShare"` // share of attempts that machines rejected as full
-	ListAge            Duration `cbor:"ListAge"`     // since the machine list's last update; negative: there was none
+	ListAge            Duration `cbor:"ListAge"`     // time since the last update of the machine list; negative: none
 }
 
 func (*StatusRequest) kind() kind  { return kindStatusRequest }
--- a/internal/storage/wal/compact.go
+++ b/internal/storage/wal/compact.go
@@ -17,7 +17,7 @@
 		return before, after, err
 	}
 	first := l.lastGroup + 1
-	if err := l.startSegment(first); err != nil && !errors.Is(err, os.ErrExist) { // it exists if the log is empty
+	if err := l.startSegment(first); err != nil && !errors.Is(err, os.ErrExist) { // it exists in an empty log
 		return before, after, err
 	}
 	if err := l.closeSegment(); err != nil {
--- a/internal/storage/wal/group.go
+++ b/internal/storage/wal/group.go
@@ -7,9 +7,9 @@
 )
 
 // A group consists of a header and a body with its changes. The header holds four bytes of magic, the length of the
-// body, the sequence number of the group, the number of the last group that was on disk when it was written, and a
-// checksum of all but the magic. In a snapshot the groups are its chunks, numbered from 0, and an empty group marks the
-// end.
+// body, the sequence number of the group, the number of the last group that was on disk when this group was written,
+// and a checksum of all but the magic. In a snapshot the groups are its chunks, numbered from 0, and an empty group
+// marks the end.
 const (
 	groupLengthOffset   = 4
 	groupSequenceOffset = 8
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// checkTornHeader tolerates an invalid header in the last segment if no group in it was acknowledged, which a crash may
-// leave behind. Otherwise it returns headerErr.
+// checkTornHeader tolerates an invalid header, which a crash may leave behind, in the last segment if no group of the
+// segment was acknowledged. Otherwise it returns headerErr.
 func (s *State) checkTornHeader(segment segmentFile, data []byte, position segmentPosition, headerErr error) error {
 	_, unsupported := errors.AsType[*UnsupportedVersionError](headerErr)
 	if unsupported || position != segmentLast || laterDurableGroup(data, 0, segment.first) > 0 {
@@ -216,8 +216,9 @@
 	return nil
 }
 
-// checkTornTail tolerates the torn group at an offset if a crash may have left it: it is in the last segment, and no
-// valid group behind it was written when the torn one was already on disk. Anything else is corruption.
+// checkTornTail tolerates the torn group at an offset if a crash may have left it behind: the group is in the last
+// segment, and no valid group that follows was written after the torn one had reached the disk. Otherwise it returns a
+// *CorruptionError.
 func (s *State) checkTornTail(file string, data []byte, offset int, position segmentPosition) error {
 	torn := s.LastGroup + 1
 	if position != segmentLast {
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -89,7 +89,7 @@
 	data       []byte
 	chunk      []Change
 	chunkBytes int
-	chunks     uint64 // encoded so far
+	chunks     uint64 // number of chunks encoded so far
 }
 
 func (e *snapshotEncoder) add(change Change) error {
--- a/internal/storage/wal/state.go
+++ b/internal/storage/wal/state.go
@@ -14,9 +14,9 @@
 	// The fields below are results of Load that recovery needs.
 
 	skipChecksums     bool
-	segments          []segmentFile // that follow the newest snapshot
+	segments          []segmentFile // segments that follow the newest snapshot
 	obsolete          []string      // names of files that are no longer needed
-	lastValidSize     int           // bytes of the last segment up to its torn tail
+	lastValidSize     int           // size of the last segment without its torn tail, in bytes
 	lastHeaderInvalid bool          // the header of the last segment is invalid, and the segment holds no group
 }
 
@@ -24,10 +24,10 @@
 type Stats struct {
 	FirstGroup     uint64 // first group of the log; the snapshot includes the groups before it
 	LastGroup      uint64
-	Groups         int // read from the log
-	Records        int // values
-	Bytes          int // of snapshot and log
-	TruncatedBytes int // of an unfinished group at the end of the log
+	Groups         int // number of groups read from the log
+	Records        int // number of values
+	Bytes          int // size of the snapshot and the log
+	TruncatedBytes int // size of an unfinished group at the end of the log
 }
 
 func newState() *State { return &State{kinds: map[string]*btree.Map[string, []byte]{}} }
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -51,12 +51,12 @@
 	durableGroup uint64 // all groups up to this one are on disk
 
 	bytesSinceSnapshot int
-	// bytes of the last snapshot; written by the snapshot goroutine, read only once snapshotDone is closed
+	// size of the last snapshot in bytes; written by the snapshot goroutine, read only once snapshotDone is closed
 	snapshotSize int
 	snapshotDone chan struct{} // closed when the current snapshot ends; nil if none is being written
 
 	syncErr            error  // not nil after a failed sync, until rewrite succeeds
-	rewriteFirstGroup  uint64 // first group of the segment that a rewrite starts; 0 if none was tried
+	rewriteFirstGroup  uint64 // first group of the segment that a rewrite starts; 0: no rewrite was tried
 	consecutiveRejects int    // commits rejected since the last accepted one
 
 	counters    Counters
