--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -86,8 +86,8 @@
 	return s, nil
 }
 
-// withSchedulers calls f with the command of a scheduler and a directory for the files of the run. The parameters path
-// and rule are those of outputDir and schedulerProgram.
+// withSchedulers calls f with the command of a scheduler and a directory for the files of the run. Path is passed to
+// outputDir and rule to schedulerProgram.
 func withSchedulers(path string, rule int, f func(program []string, dir string) error) error {
 	program, err := schedulerProgram(rule)
 	if err != nil {
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -35,8 +35,8 @@
 	return err
 }
 
-// runClusterTrial runs a trial on the cluster of a scenario file. The parameter program is the command of a scheduler;
-// path is that of outputDir.
+// runClusterTrial runs a trial on the cluster of a scenario file. Program is the command of a scheduler; path is passed
+// to outputDir.
 func runClusterTrial(trial trials.Trial, scenarioFile, path string, program []string) error {
 	s, err := loadScenario(scenarioFile)
 	if err != nil {
--- a/internal/bgp/announce/actions.go
+++ b/internal/bgp/announce/actions.go
@@ -18,7 +18,7 @@
 // Withdraw withdraws a prefix from all peers.
 type Withdraw struct{ Prefix netip.Prefix }
 
-// SetTimer starts a timer. Timers that were started earlier keep running. TimerFired follows for each.
+// SetTimer starts a timer, whose expiry is reported as TimerFired. Timers that were started earlier keep running.
 type SetTimer struct{ After scheduler.Time }
 
 // Log is a log message about a prefix, with the flap damping penalty or an error. The message is constant.
@@ -26,7 +26,7 @@
 	Message string
 	Prefix  netip.Prefix
 	Penalty float64
-	Err     error // nil: none
+	Err     error // nil: the message is not about an error
 }
 
 func (Announce) action() {}
--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// setTimer sets the timer for the earliest update that is due without another event, unless it already fires by then.
+// setTimer sets the timer for the earliest update that is due without another event, unless a timer already fires by
+// then.
 func (a *Announcer) setTimer() {
 	next := scheduler.Time(0)
 	for _, s := range a.services {
--- a/internal/bgp/announce/route.go
+++ b/internal/bgp/announce/route.go
@@ -67,8 +67,8 @@
 // route is the route to a service's address as sent to peers.
 type route struct {
 	state       routeState
-	path        Path         // last announced
-	prefix      netip.Prefix // of the last announced path
+	path        Path         // path announced last
+	prefix      netip.Prefix // prefix announced last
 	updatedAt   scheduler.Time
 	everUpdated bool // whether updatedAt is set
 }
--- a/internal/bgp/announce/service.go
+++ b/internal/bgp/announce/service.go
@@ -11,7 +11,7 @@
 // start or end of one container among many does not change it.
 const (
 	medStep     = 10
-	maxMEDSteps = 5 // without serving containers; with 16 or more the MED is not raised
+	maxMEDSteps = 5 // number of steps without serving containers; with 16 or more containers there is none
 )
 
 // Service is the configuration of a service address.
@@ -19,8 +19,8 @@
 	Prefix      netip.Prefix
 	NextHop     netip.Addr
 	MED         uint32
-	MinRunning  int  // minimum of running containers to announce the address; 0 counts as 1
-	MEDByHealth bool // lowers the MED with more serving containers; peers prefer the lowest MED
+	MinRunning  int  // minimum number of running containers to announce the address; 0 counts as 1
+	MEDByHealth bool // the more containers serve, the lower the MED; peers prefer the lowest MED
 }
 
 // service is the state of one service address.
--- a/internal/bgp/session/session.go
+++ b/internal/bgp/session/session.go
@@ -15,7 +15,7 @@
 	HoldTime    scheduler.Time // 0: no keepalives
 	Families    []wire.Family
 	Passive     bool           // never dial; only the peer connects
-	RestartTime scheduler.Time // time the peer keeps routes during a local restart; 0: no graceful restart
+	RestartTime scheduler.Time // time for which the peer keeps routes; 0: no graceful restart
 }
 
 // Session is the state machine of the session with one peer.
--- a/internal/bgp/session/timers.go
+++ b/internal/bgp/session/timers.go
@@ -5,8 +5,8 @@
 // Durations of the timers. RFC 4271, section 10, suggests the first two.
 const (
 	connectRetryTime = 120 * scheduler.Second
-	openHoldTime     = 4 * 60 * scheduler.Second // for the peer to send its Open
-	minIdleHoldTime  = scheduler.Second          // after a failure; doubled with each until a session is established
+	openHoldTime     = 4 * 60 * scheduler.Second // limit of the wait for the Open of the peer
+	minIdleHoldTime  = scheduler.Second          // doubles with each failure until a session is established
 	maxIdleHoldTime  = 60 * scheduler.Second
 )
 
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -15,8 +15,8 @@
 	"glenport/scheduler"
 )
 
-// firstInboundID is lower than the ID of each inbound connection. Sessions number the connections that they dial from 1
-// on.
+// firstInboundID is the number from which the IDs of inbound connections count up. It is far above the IDs of dialed
+// connections, which sessions count from 1.
 const firstInboundID session.ConnID = 1_000_000
 
 // RouteDecider decides which routes are announced. It is an announce.Announcer, or wraps one in tests.
--- a/internal/bgp/wire/attribute.go
+++ b/internal/bgp/wire/attribute.go
@@ -32,7 +32,7 @@
 	value []byte
 }
 
-// nextAttribute splits off an attribute. It returns false if b is too short.
+// nextAttribute splits off the first attribute of b. It returns false if b is too short.
 func nextAttribute(b []byte) (a attribute, rest []byte, ok bool) {
 	if len(b) < 3 {
 		return attribute{}, nil, false
--- a/internal/bgp/wire/gracefulrestart.go
+++ b/internal/bgp/wire/gracefulrestart.go
@@ -15,7 +15,7 @@
 type GracefulRestart struct {
 	Restarted           bool            // the sender has just restarted
 	Time                uint16          // seconds for which the routes of the sender may be kept; at most 4095
-	ForwardingPreserved map[Family]bool // for each family in the capability
+	ForwardingPreserved map[Family]bool // by family: whether the sender has preserved its forwarding state
 }
 
 func (r *GracefulRestart) encode() []byte {
--- a/internal/bgp/wire/open.go
+++ b/internal/bgp/wire/open.go
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// nextTLV splits off a value preceded by its type and length of one byte each. It returns false if b is too short.
+// nextTLV splits off the first value of b, which is preceded by its type and length of one byte each. It returns false
+// if b is too short.
 func nextTLV(b []byte) (kind byte, value, rest []byte, ok bool) {
 	if len(b) < 2 || len(b) < 2+int(b[1]) {
 		return 0, nil, nil, false
--- a/internal/bgp/wire/update.go
+++ b/internal/bgp/wire/update.go
@@ -71,7 +71,7 @@
 	return appendPrefixes(b, announced4)
 }
 
-// append appends the path attributes. Announced IPv6 prefixes are part of them; IPv4 prefixes are not.
+// append appends the path attributes. Announced IPv6 prefixes are part of the attributes; IPv4 prefixes are not.
 func (p *PathAttributes) append(b []byte, announced4, announced6 []netip.Prefix) []byte {
 	b = appendOrigin(b, p.Origin)
 	b = appendASPath(b, p.ASPath)
@@ -123,8 +123,8 @@
 	return u, nil
 }
 
-// decodeAttributes decodes path attributes and returns which are present. Of a repeated attribute it uses the first
-// occurrence.
+// decodeAttributes decodes path attributes and returns which are present. If an attribute is repeated, the first
+// occurrence is used.
 func (u *Update) decodeAttributes(b []byte) (present map[attributeCode]bool, err error) {
 	present = map[attributeCode]bool{}
 	for len(b) > 0 {
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -32,7 +32,7 @@
 	HoldTime    scheduler.Time
 	Families    []wire.Family
 	Passive     bool           // the peer connects to this scheduler
-	RestartTime scheduler.Time // for which the peer retains routes during a restart (RFC 4724); 0: no graceful restart
+	RestartTime scheduler.Time // time for which the peer retains routes (RFC 4724); 0: no graceful restart
 	Allow       []netip.Prefix
 	MD5Key      string // signs TCP segments (RFC 2385); empty: segments are not signed
 }
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -31,7 +31,7 @@
 	ListenAddr      string
 	MachineListAddr string
 	StateDir        string // directory of the state kept across restarts; empty: no state is kept
-	LegacyListFile  string // file of an earlier version with the last machine list, read once; empty: none
+	LegacyListFile  string // machine list file of an earlier version, read once; empty: none is read
 	MetricsAddr     string // address on which metrics are served; empty: metrics are not served
 	Policy          scheduler.Config
 	Limits          admission.Limits
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,9 +9,9 @@
 // schedulerFile is the settings file of a scheduler, such as deploy/scheduler.yaml.
 type schedulerFile struct {
 	Name       strictyaml.String `yaml:"name"`
-	Index      strictyaml.Count  `yaml:"scheduler_index"` // index of this scheduler, from 0
+	Index      strictyaml.Count  `yaml:"scheduler_index"` // index of this scheduler, counted from 0
 	Schedulers strictyaml.Count  `yaml:"scheduler_count"` // number of all schedulers
-	// of the random number generator; default 0
+	// seed of the random number generator; default 0
 	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
 	// address and port on which clients connect
 	ListenAddr strictyaml.String `yaml:"listen"`
@@ -71,7 +71,7 @@
 
 // slowStartSection limits the attempts sent to a machine soon after its start.
 type slowStartSection struct {
-	Period strictyaml.Duration `yaml:"period"` // after the start of the machine
+	Period strictyaml.Duration `yaml:"period"` // time after the start of the machine
 	Window strictyaml.Duration `yaml:"window"`
 	Budget strictyaml.Count    `yaml:"budget"` // attempts per window, from all schedulers together
 }
@@ -98,7 +98,7 @@
 // attemptsSection holds the limits of the attempts for one request.
 type attemptsSection struct {
 	MaxAttempts strictyaml.Count    `yaml:"max_attempts"`
-	AnswerGrace strictyaml.Duration `yaml:"answer_grace"` // after the deadline
+	AnswerGrace strictyaml.Duration `yaml:"answer_grace"` // time after the deadline in which an answer still counts
 }
 
 // workloadClassEntry is one workload class.
@@ -108,7 +108,7 @@
 	Idempotency strictyaml.String `yaml:"idempotency"`
 	// rack-group, zone or fleet; required with idempotent-with-key, otherwise not allowed
 	DedupScope       strictyaml.String   `yaml:"dedup_scope" settings:"optional"`
-	DedupWindow      strictyaml.Duration `yaml:"dedup_window" settings:"optional"` // required as dedup_scope is
+	DedupWindow      strictyaml.Duration `yaml:"dedup_window" settings:"optional"` // required if dedup_scope is
 	LatencyObjective strictyaml.Duration `yaml:"latency_objective"`                // at most placement_timeout
 	PlacementTimeout strictyaml.Duration `yaml:"placement_timeout"`
 	// a name from machines.machine_types; default: any type
@@ -167,7 +167,7 @@
 	SchedulerAddrs []strictyaml.String `yaml:"schedulers"` // at least one
 	// default: the machine list is not watched
 	MachineListAddr strictyaml.String `yaml:"machine_list" settings:"optional"`
-	// of the random number generator; default 0
+	// seed of the random number generator; default 0
 	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
 	// default: no state is kept across restarts
 	StateDir strictyaml.String `yaml:"state_dir" settings:"optional"`
--- a/internal/config/strictyaml/encode.go
+++ b/internal/config/strictyaml/encode.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// encodedPosition is the position of a value to be encoded, which was not read from a file. With it the value is set.
+// encodedPosition is the position of a value to be encoded, which was not read from a file. It makes IsSet return true.
 var encodedPosition = Position{Line: 1, Column: 1}
 
 // IsZero reports whether a value is not set. The encoder omits such a value.
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -28,7 +28,7 @@
 // File is a settings file that has been read.
 type File struct {
 	Name     string
-	root     ast.Node // syntax tree, with the old spellings that the file has
+	root     ast.Node // syntax tree of the file as written: old spellings are not replaced
 	spelling *spelling
 }
 
@@ -93,11 +93,11 @@
 func (f *File) Deprecations() []Deprecation { return f.spelling.deprecations }
 
 // KeyName returns the path of a key in the spelling that the file uses. The parameter is the path in the current
-// spelling. The parts of the path that the file does not have are in the old spelling if the file uses that alone.
+// spelling. Keys of the path that the file does not have are in the old spelling if the file uses only old spellings.
 func (f *File) KeyName(path string) string { return f.spelling.keyName(path) }
 
-// ValueName returns a value of a key: in the old spelling if the file uses that alone, otherwise in the current one.
-// The parameters are in the current spelling.
+// ValueName returns a value of a key: in the old spelling if the file uses only old spellings, otherwise in the current
+// one. The parameters are in the current spelling.
 func (f *File) ValueName(path, value string) string {
 	if !f.spelling.onlyOld() {
 		return value
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -11,8 +11,8 @@
 // reservedASN is AS_TRANS, which replaces a four-byte AS number in fields of two bytes (RFC 6793).
 const reservedASN = 23456
 
-// validator checks the values of one file and records the first error. Its methods return a value even after an error,
-// the zero value if there is no other, so that callers need not check for an error after each call.
+// validator checks the values of one file and records the first error. After an error its methods still return a value,
+// such as the zero value, so that callers need not check for an error after each call.
 type validator struct {
 	file *strictyaml.File
 	err  error // the first error, a *strictyaml.Error
