--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -58,7 +58,7 @@
 
 // Spec describes a cluster.
 type Spec struct {
-	Template string // path of the settings file from which that of the scheduler is derived
+	Template string // path of the settings file on which the settings of the scheduler are based
 	Dir      string
 	Program  []string
 	Machines int
--- a/internal/testbed/bench/peers.go
+++ b/internal/testbed/bench/peers.go
@@ -76,7 +76,7 @@
 // instantList answers every watch with a full snapshot.
 type instantList struct{ machines []*instantMachine }
 
-// serve serves peer on all connections of a listener until that is closed.
+// serve serves peer on all connections of a listener until the listener is closed.
 func (b *Cluster) serve(l net.Listener, peer instantPeer) {
 	loopback.AcceptAll(l, func(c net.Conn) {
 		b.goroutines.Go(func() { b.serveConnection(c, peer) })
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -27,7 +27,7 @@
 	Clients    *emulator.Clients
 	Schedulers []*process.Scheduler
 	Config     *config.Scheduler // template of the schedulers' settings
-	ListAddr   string            // of the machine list itself, not of its proxy
+	ListAddr   string            // address of the machine list, not of its proxy
 	recording  *faultproxy.Writer
 }
 
--- a/internal/testbed/cluster/scheduler.go
+++ b/internal/testbed/cluster/scheduler.go
@@ -45,8 +45,8 @@
 	return p.Start()
 }
 
-// KillScheduler kills a scheduler with SIGKILL and records that after the proxies have recorded its last frames: they
-// would otherwise be attributed to the next incarnation.
+// KillScheduler kills a scheduler with SIGKILL. It records the kill only after the proxies have recorded the last
+// frames of the scheduler, which would otherwise be attributed to the next incarnation.
 func (c *Cluster) KillScheduler(p *process.Scheduler) {
 	killed := time.Now()
 	p.Stop(syscall.SIGKILL)
@@ -54,8 +54,9 @@
 	c.recording.RecordKill(p.Name, killed)
 }
 
-// StartController starts a controller for the schedulers of the cluster and waits until it knows all machines. It
-// submits to addresses, or to the listeners of the schedulers if that is nil. With a state folder it persists its jobs.
+// StartController starts a controller for the schedulers of the cluster and waits until it knows all machines. The
+// controller submits to addresses, or to the listeners of the schedulers if addresses is nil. It persists its jobs in
+// stateDir; if stateDir is empty, it does not persist them.
 func (c *Cluster) StartController(program string, addresses []string, stateDir string) (*process.Controller, error) {
 	if addresses == nil {
 		for _, p := range c.Schedulers {
--- a/internal/testbed/cluster/spec.go
+++ b/internal/testbed/cluster/spec.go
@@ -14,7 +14,7 @@
 type Spec struct {
 	Seed          uint64
 	Schedulers    int
-	Template      string // path of the settings file from which those of all schedulers are derived
+	Template      string // path of the settings file on which the settings of all schedulers are based
 	Zones         []string
 	MachineCounts []MachineCount
 	Machine       emulator.MachineSpec // settings common to all machines
@@ -22,7 +22,7 @@
 	Workloads     []emulator.WorkloadProfile // by workload class
 	DrainGrace    scheduler.Time
 	Slack         scheduler.Time
-	BGP           *config.BGP // overrides the BGP settings of the template unless nil
+	BGP           *config.BGP // replaces the BGP settings of the template; nil: does not
 }
 
 // MachineCount is the number of machines of a type in each zone.
--- a/internal/testbed/emulator/bgp_peer.go
+++ b/internal/testbed/emulator/bgp_peer.go
@@ -30,8 +30,8 @@
 	peerCloseEvent     peerEvent = "closed"
 )
 
-// A speaker may open a new session before the peer has noticed the end of the previous one, which it replaces. The
-// session of a peer that is closed ends after the close.
+// A speaker may open a new session before the peer has noticed the end of the previous session. The new session then
+// replaces the previous one. After the close of a peer, the end of its session is still reported.
 var peerTransitions = statemachine.Table[peerState, peerEvent]{
 	peerListening:   {sessionEstablished: peerEstablished, peerCloseEvent: peerClosed},
 	peerEstablished: {sessionEstablished: peerEstablished, sessionEnded: peerListening, peerCloseEvent: peerClosed},
--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -16,7 +16,7 @@
 
 // WorkloadProfile describes the containers of one workload class that clients submit.
 type WorkloadProfile struct {
-	Share            float64 // of all submissions
+	Share            float64 // fraction of all submissions
 	Services         int
 	Cores            []float64 // drawn at random, with Memory at the same index
 	Memory           []float64
--- a/internal/testbed/emulator/client_tally.go
+++ b/internal/testbed/emulator/client_tally.go
@@ -26,11 +26,11 @@
 	DuplicateReplies int                     // replies beyond the first
 	Retried          int                     // submissions that are retries
 	Ended            int                     // placed containers whose termination a client received
-	Evicted          int                     // of the ended: out of memory
-	Lost             int                     // of the ended: lost for another reason, as with their machine
+	Evicted          int                     // ended containers that were evicted for lack of memory
+	Lost             int                     // ended containers lost for another reason, as with their machine
 	Unsent           int                     // no scheduler was connected
 	Pending          int                     // without a reply when the clients were closed
-	PlacedLate       int                     // of the placed: after more than a second
+	PlacedLate       int                     // placements that took more than a second
 	PlacementLatency *hdrhistogram.Histogram // in microseconds
 }
 
--- a/internal/testbed/emulator/container.go
+++ b/internal/testbed/emulator/container.go
@@ -11,7 +11,7 @@
 type containerState string
 
 const (
-	containerOffered  containerState = "offered"  // waits for admission
+	containerOffered  containerState = "offered"  // the container waits for admission
 	containerAccepted containerState = "accepted" // resources are reserved, the start is pending or under way
 	containerRunning  containerState = "running"
 	containerEnded    containerState = "ended" // also after a reject
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// expire leaves the claim of a container that ran in place until its window ends.
+// expire makes the claim of a container that ran end with its deduplication window.
 func (g *DedupGroup) expire(c *container) {
 	if c.spec.DedupWindow <= 0 {
 		return
--- a/internal/testbed/emulator/image_cache.go
+++ b/internal/testbed/emulator/image_cache.go
@@ -26,10 +26,10 @@
 	c.recent = c.recent[:min(len(c.recent), c.size)]
 }
 
-// acquire counts a running container of a service, whose image stays until release.
+// acquire adds a running container of a service. The image of the service stays in the cache until release.
 func (c *imageCache) acquire(service string) { c.running[service]++ }
 
-// release ends the count of one container.
+// release removes a running container of a service.
 func (c *imageCache) release(service string) {
 	c.running[service]--
 	if c.running[service] <= 0 {
--- a/internal/testbed/emulator/lifecycle.go
+++ b/internal/testbed/emulator/lifecycle.go
@@ -29,7 +29,7 @@
 	capacityExceeded    machineEvent = "capacity exceeded"
 )
 
-// A machine that stops loses its drain: it serves after the next start.
+// A stop ends the drain of a machine: after the next start the machine serves.
 var machineTransitions = statemachine.Table[machineState, machineEvent]{
 	machineStopped: {
 		machineStarted:      machineServing,
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -12,11 +12,11 @@
 
 // MachineList is the machine list service. Its entries lag behind the machines, and it limits the calls per second.
 type MachineList struct {
-	Lag              time.Duration // from a change of a machine to its entry in the list
-	FailureDetection time.Duration // until an unresponsive machine is listed as gone
-	PollInterval     time.Duration // between two polls of the machines
-	CallsPerSecond   int           // 0: no limit
-	Address          func(*Machine) string
+	Lag              time.Duration         // from a change of a machine to its entry in the list
+	FailureDetection time.Duration         // until an unresponsive machine is listed as gone
+	PollInterval     time.Duration         // between two polls of the machines
+	CallsPerSecond   int                   // 0: no limit
+	Address          func(*Machine) string // returns the address under which a machine is listed
 
 	mu            sync.Mutex
 	machines      []*Machine
@@ -77,7 +77,7 @@
 	}
 }
 
-// BecomeReachable ends BecomeUnreachable.
+// BecomeReachable makes the list accept connections again.
 func (l *MachineList) BecomeReachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/emulator/machine_faults.go
+++ b/internal/testbed/emulator/machine_faults.go
@@ -3,7 +3,7 @@
 // Freeze suspends the machine until Thaw: its connections stay open, and their frames wait.
 func (m *Machine) Freeze() { m.loop.change(loopFreezeEvent) }
 
-// Thaw ends Freeze.
+// Thaw resumes a frozen machine.
 func (m *Machine) Thaw() { m.loop.change(loopThawEvent) }
 
 // SetSlowdown multiplies the duration of admissions, starts and probe replies by a factor.
@@ -17,7 +17,7 @@
 	m.do(func() { m.behavior.ignoredWorkloads[workload] = true })
 }
 
-// AnswerWorkload ends IgnoreWorkload.
+// AnswerWorkload makes the machine answer offers of a workload class again.
 func (m *Machine) AnswerWorkload(workload int) {
 	m.do(func() { m.behavior.ignoredWorkloads[workload] = false })
 }
@@ -27,7 +27,7 @@
 	m.do(func() { m.behavior.throttledTenants[tenant] = true })
 }
 
-// AdmitTenant ends ThrottleTenant.
+// AdmitTenant makes the machine examine the offers of a tenant again.
 func (m *Machine) AdmitTenant(tenant int) {
 	m.do(func() { m.behavior.throttledTenants[tenant] = false })
 }
--- a/internal/testbed/emulator/machine_spec.go
+++ b/internal/testbed/emulator/machine_spec.go
@@ -7,14 +7,14 @@
 	Name, Zone, RackGroup, MachineType          string
 	ZoneIndex, RackGroupIndex, MachineTypeIndex int
 	Cores, Memory                               float64
-	AcceptCores, AcceptMemory                   float64       // multiples of its cores and memory that it accepts
-	AdmissionTime                               time.Duration // to examine one offer
+	AcceptCores, AcceptMemory                   float64       // multiples of Cores and Memory that the machine accepts
+	AdmissionTime                               time.Duration // time to examine one offer
 	MaxQueuedOffers                             int           // offers waiting to be examined
 	ConcurrentStarts                            int
-	StartTime                                   time.Duration // of a container whose image is cached
-	ImageMissFactor                             float64       // on the start time if the image is not cached
+	StartTime                                   time.Duration // start time of a container whose image is cached
+	ImageMissFactor                             float64       // factor on the start time if the image is not cached
 	CachedImages                                int           // images of recently used services that stay cached
-	SlowStartPeriod                             time.Duration // from the start of the machine
+	SlowStartPeriod                             time.Duration // time after the start of the machine
 	SlowStartInitialPace                        float64       // fraction of the full pace right after a start
 	SlowStartWindow                             time.Duration
 	// SlowStartCapacity is the number of offers and probes in a window that the machine handles during slow start; it
--- a/internal/testbed/emulator/task_loop.go
+++ b/internal/testbed/emulator/task_loop.go
@@ -43,7 +43,7 @@
 type taskLoop struct {
 	ended chan struct{} // closed when run returns
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	wake  *sync.Cond
 	state stateMachine[loopState, loopEvent]
 	tasks []func()
--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -20,15 +20,15 @@
 var errNotTCP = errors.New("not a TCP connection")
 
 // arrivalTracker tracks when the bytes of a stream arrive at its socket, whether they have been read or not. It samples
-// the kernel's count of received bytes and assumes nothing that no sample shows.
+// the kernel's count of received bytes and relies on the samples alone.
 type arrivalTracker struct {
 	conn syscall.RawConn
 
 	mu      sync.Mutex
-	samples []arrivalSample // in order of time; lastSampleBefore drops those no longer needed
+	samples []arrivalSample // in order of time; lastSampleBefore drops samples that are no longer needed
 }
 
-// arrivalSample records that no byte after a position had arrived at a time.
+// arrivalSample records that at a time no byte after a position had arrived.
 type arrivalSample struct {
 	at       time.Time
 	position uint64 // endOfStream if the other end has closed or reset the connection
--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -15,7 +15,7 @@
 	scheduler string
 	peerName  string
 	conns     [2]net.Conn     // by direction: caller, target
-	arrivals  *arrivalTracker // of the stream that the scheduler sends
+	arrivals  *arrivalTracker // arrivals in the stream that the scheduler sends
 	state     connState
 }
 
@@ -24,11 +24,11 @@
 
 const (
 	connOpen     connState = iota
-	connEnded              // nothing more is forwarded
-	connRecorded           // and nothing more is recorded
+	connEnded              // no more frames are forwarded
+	connRecorded           // no more frames are forwarded or recorded
 )
 
-// direction is the index of the sending end.
+// direction is a direction of a connection, or the end that sends in this direction.
 type direction int
 
 const (
@@ -36,7 +36,7 @@
 	fromTarget
 )
 
-// schedulerEnd returns the end of the scheduler.
+// schedulerEnd returns which end of the connection is the scheduler.
 func (c *connection) schedulerEnd() direction {
 	if c.peer == protocol.RoleClient {
 		return fromTarget
@@ -120,7 +120,7 @@
 	return fault, c.state == connOpen && !p.closed
 }
 
-// chance returns true with the given probability. It draws no random number if that is zero.
+// chance returns true with the given probability. If the probability is zero, it draws no random number.
 func (p *Proxy) chance(probability float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -95,9 +95,10 @@
 	p.background.Wait()
 }
 
-// Listen opens a listener in front of a target and returns its address. target returns the address to connect to and
-// is called for each connection. One end of each connection is a scheduler: if schedulers connect to the listener, peer
-// and name are those of the target; if clients do, peer is RoleClient and name is that of the scheduler.
+// Listen opens a listener in front of a target and returns its address. target returns the address to connect to and is
+// called for each connection. One end of each connection is a scheduler: if schedulers connect to the listener, peer
+// and name are the role and the name of the target; if clients connect, peer is RoleClient and name is the name of the
+// scheduler.
 func (p *Proxy) Listen(peer protocol.Role, name string, target func() string) (string, error) {
 	listener, err := loopback.Listen(loopback.AnyPort)
 	if err != nil {
--- a/internal/testbed/faultproxy/sampler.go
+++ b/internal/testbed/faultproxy/sampler.go
@@ -10,7 +10,7 @@
 const sampleInterval = 5 * time.Millisecond
 
 // sampler samples the streams of all schedulers periodically. It shares no lock with forwarding and recording, so that
-// delays of these do not delay the samples.
+// a delay there does not delay the samples.
 type sampler struct {
 	mu      sync.Mutex
 	streams map[*arrivalTracker]bool
--- a/internal/testbed/faultproxy/stream.go
+++ b/internal/testbed/faultproxy/stream.go
@@ -7,7 +7,7 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// maxQueuedFrames is more than the buffers of a real connection hold.
+// maxQueuedFrames is more than the number of frames that the buffers of a real connection hold.
 const maxQueuedFrames = 100_000
 
 // sender is the end of a connection that sends a stream.
--- a/internal/testbed/faults/fault.go
+++ b/internal/testbed/faults/fault.go
@@ -13,8 +13,8 @@
 	Kind     Kind
 	At       time.Duration // since the start of the scenario
 	Duration time.Duration
-	Fraction float64 // of the machines, or of the objects that the kind affects
-	Size     float64 // meaning depends on the kind
+	Fraction float64 // fraction of the machines, or of the other objects that the kind affects
+	Size     float64 // its meaning depends on the kind
 	Zone     int
 }
 
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -18,7 +18,7 @@
 type Injector struct {
 	*cluster.Cluster
 	spec  cluster.Spec
-	rate  float64 // of submissions, outside of bursts
+	rate  float64 // submissions per second outside of bursts
 	rng   *rand.Rand
 	log   *Log
 	ended chan struct{} // closed when the scenario ends
@@ -89,7 +89,8 @@
 	}
 }
 
-// applyNetworkRules combines all current rules and applies them to the proxy. Each connection gets the worst of them.
+// applyNetworkRules combines all current rules and applies them to the proxy. Each connection gets the worst fault of
+// all rules.
 func (i *Injector) applyNetworkRules() {
 	i.mu.Lock()
 	var rules []networkRule
--- a/internal/testbed/faults/machinefaults.go
+++ b/internal/testbed/faults/machinefaults.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// machineFault applies a fault to a fraction of the machines and ends it after its duration.
+// machineFault applies a fault to a fraction of the machines for the duration of the fault.
 type machineFault struct {
 	start, end func(*emulator.Machine, Fault)
 }
@@ -58,7 +58,7 @@
 	i.restartMachines(i.ZoneMachines(f.Zone), f.Duration)
 }
 
-// freezeThenRestart freezes a fraction of the machines and restarts them after its duration.
+// freezeThenRestart freezes a fraction of the machines and restarts them after the duration of the fault.
 type freezeThenRestart struct{}
 
 func (freezeThenRestart) inject(i *Injector, f Fault) {
@@ -70,8 +70,8 @@
 	i.restartMachines(machines, 0)
 }
 
-// drain drains a fraction of the machines and ends the drain after its duration. With a size above 0 the machines also
-// end their containers.
+// drain drains a fraction of the machines for the duration of the fault. With a size above 0 the machines also end
+// their containers.
 type drain struct{}
 
 func (drain) inject(i *Injector, f Fault) {
--- a/internal/testbed/faults/networkfaults.go
+++ b/internal/testbed/faults/networkfaults.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// lostAccepts drops a fraction of the accept frames of machines, given by its size.
+// lostAccepts drops a fraction of the accept frames of machines. The size of the fault is the fraction.
 type lostAccepts struct{}
 
 func (lostAccepts) inject(i *Injector, f Fault) {
@@ -63,7 +63,7 @@
 	remove()
 }
 
-// networkDelay delays all frames by its size in milliseconds.
+// networkDelay delays all frames. The size of the fault is the delay in milliseconds.
 type networkDelay struct{}
 
 func (networkDelay) inject(i *Injector, f Fault) {
--- a/internal/testbed/faults/otherfaults.go
+++ b/internal/testbed/faults/otherfaults.go
@@ -11,7 +11,7 @@
 	i.List.BecomeReachable()
 }
 
-// listStale adds its size in seconds to the lag of the machine list.
+// listStale adds a delay to the lag of the machine list. The size of the fault is the delay in seconds.
 type listStale struct{}
 
 func (listStale) inject(i *Injector, f Fault) {
@@ -20,7 +20,7 @@
 	i.List.SetStaleness(0)
 }
 
-// schedulerKill kills a fraction of the schedulers and restarts them after its duration.
+// schedulerKill kills a fraction of the schedulers and restarts them after the duration of the fault.
 type schedulerKill struct{}
 
 func (schedulerKill) inject(i *Injector, f Fault) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// burst multiplies the submission rate by its size.
+// burst multiplies the submission rate by the size of the fault.
 type burst struct{}
 
 func (burst) inject(i *Injector, f Fault) {
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // has been read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read to its end
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -18,12 +18,12 @@
 	PlacedPerSecond      float64
 	P50, P99, P999       float64 // milliseconds from the arrival of a submission to its offer on the socket
 	Worst                float64 // milliseconds
-	Busy                 float64 // fraction of the time in which the event loop was busy
+	Busy                 float64 // fraction of the time for which the event loop was busy
 	DecidingShare        float64 // fraction of the busy time spent on decisions
 	DecidingMicroseconds float64 // spent on decisions per submission
 	MiB                  float64 // live heap at the end
 	MiBBefore            float64 // live heap with all connections open, before the first submission
-	KnownContainers      float64 // at the end
+	KnownContainers      float64 // containers that the scheduler knows at the end
 	Connections          float64
 }
 
--- a/internal/testbed/process/api.go
+++ b/internal/testbed/process/api.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // has been read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read to its end
 	data, err = io.ReadAll(response.Body)
 	return response.StatusCode, data, err
 }
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -33,12 +33,12 @@
 
 // ControllerSpec describes a controller process.
 type ControllerSpec struct {
-	Dir             string // of its settings file and its log
+	Dir             string // directory of its settings file and its log
 	Program         string
 	SchedulerFile   string   // settings file of one of the schedulers
 	SchedulerAddrs  []string // schedulers that it submits to
 	MachineListAddr string
-	StateDir        string // for its persistent state; empty: none
+	StateDir        string // directory of its persistent state; empty: the controller keeps none
 }
 
 // NewController reserves a port for a controller and writes its settings file.
--- a/internal/testbed/process/protocol.go
+++ b/internal/testbed/process/protocol.go
@@ -42,7 +42,7 @@
 	return err
 }
 
-// ReadUntil reads frames up to the first one of type T and returns that.
+// ReadUntil reads frames up to the first one of type T and returns this frame.
 func ReadUntil[T protocol.Frame](c net.Conn) (T, error) {
 	for {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	startTimeout  = 10 * time.Second // until a scheduler answers
+	startTimeout  = 10 * time.Second // limit of the wait until a scheduler answers
 	pollInterval  = 5 * time.Millisecond
-	helloTimeout  = time.Second     // for the hello of a started scheduler
-	stopTimeout   = 5 * time.Second // between a signal and SIGKILL
+	helloTimeout  = time.Second     // limit of the wait for the hello of a started scheduler
+	stopTimeout   = 5 * time.Second // time between a signal and SIGKILL
 	statusTimeout = 5 * time.Second
 )
 
@@ -155,7 +155,7 @@
 	return p.process != nil
 }
 
-// Status returns the stats of the scheduler by name, in the unit that the scheduler reports for each.
+// Status returns the stats of the scheduler by name, each in the unit that the scheduler reports for it.
 func (p *Scheduler) Status() (map[string]float64, error) {
 	c, err := DialProtocol(
 		p.Address,
