--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -110,7 +110,7 @@
 	testutil.ExpectNoError(t, err)
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != "ping" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("peer got %q, %v", got, err)
 	}
 }
 
@@ -151,7 +151,7 @@
 	for _, tc := range []struct {
 		name    string
 		prepare func(c *Conn)
-		sent    int // bytes, before the peer hangs up
+		sent    int // bytes sent before the peer hangs up
 	}{
 		{"sends and hangs up", func(*Conn) {}, readBufferSize / 2},
 		{"while reading is paused", (*Conn).PauseReading, readBufferSize / 2},
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			handler := newProbe()
-			runOnLoop(l, func() { // handler.closed is not received from meanwhile
+			runOnLoop(l, func() { // handler.closed has no receiver until the call returns
 				c := l.Dial(tc.addr, handler, 100, 50*Millisecond)
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
--- a/internal/eventloop/exchange_test.go
+++ b/internal/eventloop/exchange_test.go
@@ -20,7 +20,7 @@
 	listener *Listener
 	record   strings.Builder
 	accepted []*Conn
-	peers    []int // descriptors of the peers, in the same order as accepted
+	peers    []int // descriptors of the peers, in the same order as in accepted
 	dialed   *Conn
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -22,7 +22,7 @@
 	kernel        Kernel
 	spareFD       int // reserved to refuse connections when descriptors run out; -1: none
 	accept4       func(fd, flags int) (int, unix.Sockaddr, error)
-	started       time.Time
+	startedAt     time.Time
 	base          Tick // value of the loop's clock at started
 	now           Tick
 	wheel         *TimerWheel
@@ -54,7 +54,7 @@
 	l := &Loop{
 		kernel:      kernel,
 		accept4:     kernel.Accept,
-		started:     now,
+		startedAt:   now,
 		base:        Tick(now.UnixMicro() / microsecondsPerTick),
 		onIteration: onIteration,
 		posts:       postQueue{kernel: kernel},
@@ -89,7 +89,7 @@
 
 // iterate runs one iteration on the first ready entries of events, in the order that the package documents.
 func (l *Loop) iterate(ready int) {
-	began := l.kernel.Since(l.started)
+	began := l.kernel.Since(l.startedAt)
 	l.now = max(l.now, l.ReadClock())
 	late := l.stalls.lateness()
 	l.posts.run()
@@ -103,7 +103,7 @@
 		l.onFlushed()
 	}
 	l.iterations++
-	busy := l.kernel.Since(l.started) - began
+	busy := l.kernel.Since(l.startedAt) - began
 	l.busy += busy
 	l.stalls.recordIteration(late, busy)
 }
@@ -159,7 +159,7 @@
 func (l *Loop) Now() Tick { return l.now }
 
 // Elapsed reads the clock and returns the time since New, for measurements within an iteration.
-func (l *Loop) Elapsed() time.Duration { return l.kernel.Since(l.started) }
+func (l *Loop) Elapsed() time.Duration { return l.kernel.Since(l.startedAt) }
 
 // Iterations is the number of iterations so far and the time spent in them, excluding the time spent waiting.
 func (l *Loop) Iterations() (count int, busy time.Duration) { return l.iterations, l.busy }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -62,7 +62,7 @@
 	testutil.Expect(t, !l.Post(func() {}), "a loop that has ended accepted a callback")
 }
 
-// A loop that stops when idle handles the input that a peer has sent by then, writes the reply, and does not reset the
+// A loop that stops when idle handles the input that has arrived before, writes the reply, and does not reset the
 // connection.
 func TestStopWhenIdleHandlesWhatArrivedAndResetsNothing(t *testing.T) {
 	l, handler := newLoop(t, func() {}), newProbe()
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -17,7 +17,7 @@
 // ReadClock reads the loop's clock: wall time at New, advanced by monotonic time. Unlike Now, it advances during an
 // iteration.
 func (l *Loop) ReadClock() Tick {
-	return l.base + Tick(l.kernel.Since(l.started).Microseconds()/microsecondsPerTick)
+	return l.base + Tick(l.kernel.Since(l.startedAt).Microseconds()/microsecondsPerTick)
 }
 
 // waitTimeout is the timeout for waiting for events, in milliseconds; -1 means no limit. It is rounded up: a timer may
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -32,7 +32,7 @@
 // slot holds the timers of one slot of a level: the digit of their expiry in base 64 at position level is index.
 type slot struct {
 	level, index int
-	first        *Timer // head of the list: the timer inserted last
+	head         *Timer // the timer inserted last
 }
 
 // TimerWheel is a hierarchical timing wheel. Each level holds 64 slots, and each slot spans the whole level below.
@@ -85,11 +85,11 @@
 	level := (bits.Len64(uint64(t.expiry^w.now)|(slots-1)) - 1) / slotBits
 	level = min(level, levels-1)
 	s := &w.slots[level][int(t.expiry>>(slotBits*level))&(slots-1)]
-	t.slot, t.prev, t.next = s, nil, s.first
-	if s.first != nil {
-		s.first.prev = t
+	t.slot, t.prev, t.next = s, nil, s.head
+	if s.head != nil {
+		s.head.prev = t
 	}
-	s.first = t
+	s.head = t
 	w.occupied[level] |= 1 << s.index
 }
 
@@ -98,12 +98,12 @@
 	if t.prev != nil {
 		t.prev.next = t.next
 	} else {
-		s.first = t.next
+		s.head = t.next
 	}
 	if t.next != nil {
 		t.next.prev = t.prev
 	}
-	if s.first == nil {
+	if s.head == nil {
 		w.occupied[s.level] &^= 1 << s.index
 	}
 	t.slot, t.prev, t.next = nil, nil, nil
@@ -157,7 +157,7 @@
 // The slot must be empty before the first callback runs, as callbacks may schedule timers into it.
 func (w *TimerWheel) takeExpired(s *slot) []*Timer {
 	var expired []*Timer
-	for t := s.first; t != nil; t = s.first {
+	for t := s.head; t != nil; t = s.head {
 		w.remove(t)
 		if t.expiry > w.now {
 			w.insert(t)
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -69,7 +69,7 @@
 	testutil.Expect(t, s == want, "got\n%s, want\n%s", s, want)
 }
 
-// Errors that are sent to a peer contain the names of frames, which are those of docs/protocol.md.
+// Errors that are sent to a peer contain the names of frames, which are the names in docs/protocol.md.
 func TestFramesHaveTheNamesOfTheProtocolPage(t *testing.T) {
 	var got []string
 	for number := range 256 {
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -17,7 +17,7 @@
 	Cores: 0.5, Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true,
 }
 
-// samples returns the golden frames, except that it begins with a Hello and contains no other one.
+// samples returns the golden frames with only one Hello, which comes first.
 func samples() []Frame {
 	var frames []Frame
 	for _, known := range goldenFrames() {
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -12,8 +12,8 @@
 	"glenport/internal/testutil"
 )
 
-// writeValues writes the values of a frame in their order on the wire, under their names in docs/protocol.md, which are
-// those of the cbor tags.
+// writeValues writes the values of a frame in their order on the wire, under their names in docs/protocol.md, which the
+// cbor tags hold.
 func writeValues(out *strings.Builder, path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/storage/faultfs/crash.go
+++ b/internal/storage/faultfs/crash.go
@@ -70,18 +70,18 @@
 			write.applyToNames(d.names)
 		}
 	}
-	found := New()
-	found.IgnoreSync = f.IgnoreSync
+	directory := New()
+	directory.IgnoreSync = f.IgnoreSync
 	for _, name := range sortedNames(d.names) {
 		inode := d.names[name]
 		data := bytes.Clone(d.files[inode])
 		for _, write := range d.writes[inode] {
 			data = write.applyToFile(data, survives)
 		}
-		found.addSynced(name, data)
+		directory.addSynced(name, data)
 	}
-	found.record(operation{kind: opSyncDir})
-	return found
+	directory.record(operation{kind: opSyncDir})
+	return directory
 }
 
 // addSynced adds a synced file.
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -101,7 +101,7 @@
 	testutil.WriteFile(t, path, nil)
 	var pathErr *fs.PathError
 	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
-		t.Errorf("%v", err)
+		t.Errorf("a file in place of the directory: %v", err)
 	}
 	path = t.TempDir()
 	testutil.NoError(t, os.Mkdir(filepath.Join(path, "lock"), 0o755))
@@ -124,7 +124,7 @@
 	f, err = d.Append("a")
 	testutil.NoError(t, err)
 	testutil.NoError(t, f.Truncate(3))
-	mustWrite(t, f, nil, " three") // at the new end
+	mustWrite(t, f, nil, " three") // appended at the end after the truncation
 	wantFile(t, d, "a", "one three")
 	f, err = d.Create("b")
 	mustWrite(t, f, err, "other")
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// After a failed sync the same process rewrites the state as soon as the disk permits. Wherever the system crashes
-// meanwhile, acknowledged commits survive in every state in which the disk may be found. The file whose sync failed is
-// not used again.
+// After a failed sync the same process rewrites the state as soon as the disk permits. Whenever the system crashes
+// during the rewrite, acknowledged commits survive in every state in which the crash may leave the disk. The file whose
+// sync failed is not used again.
 func TestRewriteAfterFailedSyncSurvivesCrashes(t *testing.T) {
 	for _, operation := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+operation, func(t *testing.T) {
@@ -160,12 +160,12 @@
 	r.segment, r.failing = names[len(names)-1], "sync"
 	r.fs.InjectError = r.injectError // stays set until the end, to record operations on the failed segment
 	if err := r.commit("c"); !errors.Is(err, ErrSyncFailed) {
-		t.Fatalf("%v", err)
+		t.Fatalf("commit with a failing sync: %v", err)
 	}
 	r.failing = operation
 	for range 2 {
 		if err := r.commit("d"); !errors.Is(err, ErrSyncFailed) && operation != "remove" {
-			t.Errorf("%v", err)
+			t.Errorf("commit with a failing rewrite: %v", err)
 		}
 	}
 	r.failing = ""
--- a/internal/storage/wal/folders_test.go
+++ b/internal/storage/wal/folders_test.go
@@ -33,7 +33,7 @@
 	mustCommit(t, l, true, goldenPut("job", "a", "value 1"))
 	mustCommit(t, l, true, goldenPut("job", "b", "value 2"), goldenPut("container", "a/0", "value 3"))
 	mustCommit(t, l, false, Change{Kind: "job", Key: "a"}, Put("typed", "all", []any{int64(-1), "text", true, 2.5}))
-	mustCommit(t, l, true) // no group
+	mustCommit(t, l, true) // writes no group
 	mustCommit(t, l, false, goldenPut("container", "a/1", ""), goldenPut("container", "a/0", "value 4"))
 	mustClose(t, l)
 	older = contents(t, fs)
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -56,7 +56,7 @@
 		return s, err
 	}
 	// A snapshot without a segment that follows it is legitimate only during a rewrite.
-	if len(segments) == 0 && len(snapshots) > 0 && !slices.Contains(s.obsolete, rewriteMarkerName(next)) {
+	if len(segments) == 0 && len(snapshots) > 0 && !slices.Contains(s.obsoleteFiles, rewriteMarkerName(next)) {
 		detail := fmt.Sprintf("the log from group %d on is missing", next)
 		return s, &CorruptionError{snapshots[len(snapshots)-1].name, 0, detail}
 	}
@@ -73,7 +73,7 @@
 		} else if first, ok := parseFileName(name, segmentPrefix); ok {
 			segments = append(segments, segmentFile{name: name, first: first})
 		} else if isUnfinished(name) {
-			s.obsolete = append(s.obsolete, name)
+			s.obsoleteFiles = append(s.obsoleteFiles, name)
 		}
 	}
 	byFirstGroup := func(a, b segmentFile) int { return cmp.Compare(a.first, b.first) }
@@ -84,7 +84,7 @@
 
 func (s *State) markObsolete(files []segmentFile) {
 	for _, file := range files {
-		s.obsolete = append(s.obsolete, file.name)
+		s.obsoleteFiles = append(s.obsoleteFiles, file.name)
 	}
 }
 
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -42,7 +42,7 @@
 		name   string
 		damage func(t *testing.T, fs *faultfs.FS)
 		want   string // text of the error; empty: the directory is opened
-		left   int    // number of records
+		left   int    // number of records in the opened directory
 	}{
 		{"nothing", func(*testing.T, *faultfs.FS) {}, "", 10},
 		{"a truncated tail", func(t *testing.T, fs *faultfs.FS) {
@@ -90,7 +90,7 @@
 			}
 			l, stats := mustOpen(t, fs, Options{})
 			defer mustClose(t, l)
-			testutil.Expect(t, stats.Records == tc.left && len(valuesOf(t, l.State())) == tc.left, "%+v", stats)
+			testutil.Expect(t, stats.Records == tc.left && len(valuesOf(t, l.State())) == tc.left, "stats %+v", stats)
 			mustCommit(t, l, true, putText("more", "y"))
 		})
 	}
@@ -123,7 +123,7 @@
 func TestErrorsNameFileAndOffset(t *testing.T) {
 	fs := tenGroups(t)
 	mustFlipBit(t, fs, 8*400)
-	_, err := Load(fs, false) // the third group, after the header and two groups of 136 bytes
+	_, err := Load(fs, false) // the third group begins after the header and two groups of 136 bytes
 	var corruption *CorruptionError
 	testutil.Expect(t, errors.As(err, &corruption) && corruption.File == firstSegment && corruption.Offset == 292,
 		"corruption is reported as %+v", err)
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -17,9 +17,9 @@
 		if err := l.startSegment(l.lastGroup + 1); err != nil {
 			return err
 		}
-		return removeAll(l.fs, l.state.obsolete)
+		return removeAll(l.fs, l.state.obsoleteFiles)
 	}
-	if err := removeAll(l.fs, l.state.obsolete); err != nil {
+	if err := removeAll(l.fs, l.state.obsoleteFiles); err != nil {
 		return err
 	}
 	return l.continueSegments(l.state.segments)
--- a/internal/storage/wal/state.go
+++ b/internal/storage/wal/state.go
@@ -15,7 +15,7 @@
 
 	skipChecksums     bool
 	segments          []segmentFile // segments that follow the newest snapshot
-	obsolete          []string      // names of files that are no longer needed
+	obsoleteFiles     []string      // names of files that are no longer needed
 	lastValidSize     int           // size of the last segment without its torn tail, in bytes
 	lastHeaderInvalid bool          // the header of the last segment is invalid, and the segment holds no group
 }
