--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -108,7 +108,7 @@
 func (m *invariantModel) checkWithdrawals() {
 	for service, containers := range m.running {
 		if len(containers) == 0 && m.peerRoutes[prefixOf(service)] && m.now > m.emptyAt[service]+maxWithdrawalDelay {
-			m.t.Fatalf("%s is announced %d after its last container's end", service, m.now-m.emptyAt[service])
+			m.t.Fatalf("%s is announced %d ticks after its last container ended", service, m.now-m.emptyAt[service])
 		}
 	}
 }
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -106,7 +106,7 @@
 	session     *Session
 	peer        PeerConfig
 	connections map[ConnID]int
-	numbers     []ConnID // of the connections, in the order in which they were created
+	numbers     []ConnID // IDs of the connections, in the order in which they were created
 	accepted    ConnID   // number of connections that the peer has opened
 }
 
--- a/internal/bgp/session/opening.go
+++ b/internal/bgp/session/opening.go
@@ -29,13 +29,13 @@
 		if other.peerOpen == nil {
 			continue
 		}
-		loser := c
+		duplicate := c
 		if c.inbound == keepInbound {
-			loser = other
+			duplicate = other
 		}
-		s.connections.closeColliding(loser)
+		s.connections.closeColliding(duplicate)
 		s.log("colliding BGP connection closed")
-		if loser == c {
+		if duplicate == c {
 			return false
 		}
 	}
--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -172,7 +172,7 @@
 	return s, next, err
 }
 
-// The diagram on the page has the transitions of the code, and the code has those of the table in doc.go.
+// The diagram on the page has the transitions of the code, and the code has the transitions of the table in doc.go.
 func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
 	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.PageMachine{
 		"Session": statemachinetest.NewPageMachine(successors, Idle),
--- a/internal/bgp/speaker/connection.go
+++ b/internal/bgp/speaker/connection.go
@@ -36,8 +36,8 @@
 		conn.Close()
 		return
 	}
-	c.speaker.lastInbound++
-	c.peer, c.id = p, c.speaker.lastInbound
+	c.speaker.lastInboundID++
+	c.peer, c.id = p, c.speaker.lastInboundID
 	p.connections[c.id] = c
 	p.handle(session.ConnOpened{Conn: c.id, Inbound: true})
 }
@@ -92,8 +92,8 @@
 		return
 	}
 	if _, isUpdate := m.(*wire.Update); isUpdate {
-		c.peer.updates++
-		c.peer.bytes += len(encoded)
+		c.peer.updatesSent++
+		c.peer.bytesSent += len(encoded)
 	}
 	if c.conn != nil && c.conn.Write(encoded) != nil {
 		c.speaker.loop.After(0, c.conn.Reset)
--- a/internal/bgp/speaker/peer.go
+++ b/internal/bgp/speaker/peer.go
@@ -29,8 +29,8 @@
 	endOfRIBDue bool             // End-of-RIB is still to be sent
 	sendTimer   *eventloop.Timer // runs while the sending of pending changes is deferred; nil: not deferred
 
-	updates, bytes, flaps int
-	lastError             string
+	updatesSent, bytesSent, flaps int
+	lastError                     string
 }
 
 func newPeer(s *Speaker, settings PeerConfig) *peer {
--- a/internal/bgp/speaker/ribout.go
+++ b/internal/bgp/speaker/ribout.go
@@ -10,7 +10,7 @@
 // adjRIBOut holds the prefixes sent to a peer and the changes that are still to be sent (Adj-RIB-Out in RFC 4271).
 type adjRIBOut struct {
 	pending map[netip.Prefix]*announce.Path // nil path: a withdrawal
-	sent    map[netip.Prefix]bool
+	sent    map[netip.Prefix]bool           // prefixes that were announced and not withdrawn
 }
 
 // routeGroup holds prefixes that are announced with the same path.
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -15,9 +15,9 @@
 	"glenport/scheduler"
 )
 
-// firstInboundID is the number from which the IDs of inbound connections count up. It is far above the IDs of dialed
+// inboundIDBase is the number from which the IDs of inbound connections count up. It is far above the IDs of dialed
 // connections, which sessions count from 1.
-const firstInboundID session.ConnID = 1_000_000
+const inboundIDBase session.ConnID = 1_000_000
 
 // RouteDecider decides which routes are announced. It is an announce.Announcer, or wraps one in tests.
 type RouteDecider interface {
@@ -40,13 +40,13 @@
 	listener       *eventloop.Listener // nil: peers cannot connect
 	routes         RouteDecider
 	peers          []*peer
-	lastInbound    session.ConnID
+	lastInboundID  session.ConnID
 	routesComplete bool // all running containers are known, so that End-of-RIB may be sent
 }
 
 // New returns a speaker on a loop. Start starts its sessions.
 func New(loop *eventloop.Loop, settings Config, log *slog.Logger) *Speaker {
-	s := &Speaker{settings: settings, log: log, loop: loop, routes: announce.New(), lastInbound: firstInboundID}
+	s := &Speaker{settings: settings, log: log, loop: loop, routes: announce.New(), lastInboundID: inboundIDBase}
 	for _, p := range settings.Peers {
 		s.peers = append(s.peers, newPeer(s, p))
 	}
--- a/internal/bgp/speaker/status.go
+++ b/internal/bgp/speaker/status.go
@@ -36,8 +36,8 @@
 		State:         p.session.State().String(),
 		Routes:        len(p.rib.sent),
 		PendingRoutes: len(p.rib.pending),
-		Updates:       p.updates,
-		Bytes:         p.bytes,
+		Updates:       p.updatesSent,
+		Bytes:         p.bytesSent,
 		Flaps:         p.flaps,
 		LastError:     p.lastError,
 	}
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -18,7 +18,7 @@
 
 type goldenMessage struct {
 	name        string
-	description string // of the content, in words
+	description string // content of the message in words
 	message     Message
 }
 
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -82,7 +82,7 @@
 // A malformed message is answered by the notification that its RFC requires, or treated as a withdrawal.
 func TestMalformedMessageIsAnsweredAsRFCRequires(t *testing.T) {
 	change := func(m Message, f func(p []byte) []byte) []byte { return f(encode(t, m)) }
-	update := func(attrs ...byte) []byte { // with these attributes and the prefix 192.0.2.0/24
+	update := func(attrs ...byte) []byte { // returns an update of 192.0.2.0/24 with these attributes
 		p := encode(t, &Keepalive{})[:typeOffset]
 		p = append(p, byte(typeUpdate), 0, 0, byte(len(attrs)>>8), byte(len(attrs)))
 		p = append(append(p, attrs...), 24, 192, 0, 2)
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -131,7 +131,7 @@
 
 func TestEachOldValueIsRead(t *testing.T) {
 	data := []byte(readFile(t, "testdata/current.yaml"))
-	// the class that may have the key
+	// name of the workload class that may have the key
 	classOf := map[string]string{"dedup_scope": "report-run", "spread_scope": "corpus-merge"}
 	for _, alias := range schedulerValueAliases {
 		t.Run(alias.Key+" "+alias.Old, func(t *testing.T) {
