--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -80,7 +80,7 @@
 	_, err = fmt.Fprintf(table,
 		"%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n",
 		machines, rate, r.PlacedPerSecond, r.P50, r.P99, r.P999, r.Worst,
-		100*r.Busy, r.DecidingMicroseconds, 100*r.DecidingShare, r.MiB, r.MiBBefore, r.KnownContainers)
+		100*r.Busy, r.DecidingMicroseconds, 100*r.DecidingShare, r.HeapMiB, r.HeapMiBBefore, r.KnownContainers)
 	return err
 }
 
--- a/internal/testbed/bench/peers.go
+++ b/internal/testbed/bench/peers.go
@@ -28,9 +28,9 @@
 		send(protocol.NewHello(protocol.RoleMachine, m.name, 1), &protocol.Inventory{MachineIncarnation: 1})
 	case *protocol.Offer:
 		if m.capacity == Full {
-			refusal := protocol.Result{Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores}
-			refusal.AttemptID = frame.AttemptID
-			send(&refusal)
+			rejection := protocol.Result{Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores}
+			rejection.AttemptID = frame.AttemptID
+			send(&rejection)
 			return
 		}
 		send(&protocol.Accept{AttemptID: frame.AttemptID, Running: true})
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// WaitForReplies waits until all submissions have a reply, but not longer than atMost.
-func (c *Cluster) WaitForReplies(atMost time.Duration) {
-	for end := time.Now().Add(atMost); c.Clients.Pending() > 0 && time.Now().Before(end); {
+// WaitForReplies waits until all submissions have a reply, but not longer than timeout.
+func (c *Cluster) WaitForReplies(timeout time.Duration) {
+	for end := time.Now().Add(timeout); c.Clients.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -124,12 +124,12 @@
 }
 
 // Redeploy cancels a random fraction of the placed containers and submits them again.
-func (c *Clients) Redeploy(part float64) {
+func (c *Clients) Redeploy(fraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.outstanding {
 		conn := c.conns[s.scheduler]
-		if !s.placed || conn == nil || c.rng.Float64() >= part {
+		if !s.placed || conn == nil || c.rng.Float64() >= fraction {
 			continue
 		}
 		delete(c.outstanding, id)
--- a/internal/testbed/emulator/task_loop.go
+++ b/internal/testbed/emulator/task_loop.go
@@ -41,7 +41,7 @@
 
 // taskLoop runs posted tasks one after another on one goroutine. A frozen loop runs none, like a suspended process.
 type taskLoop struct {
-	ended chan struct{} // closed when run returns
+	done chan struct{} // closed when run returns
 
 	mu    sync.Mutex // guards the fields below
 	wake  *sync.Cond
@@ -51,7 +51,7 @@
 
 func newTaskLoop(name string) *taskLoop {
 	l := &taskLoop{
-		ended: make(chan struct{}),
+		done:  make(chan struct{}),
 		state: stateMachine[loopState, loopEvent]{"task loop of " + name, loopTransitions, loopRunning},
 	}
 	l.wake = sync.NewCond(&l.mu)
@@ -60,7 +60,7 @@
 
 // run runs tasks until the loop is closed.
 func (l *taskLoop) run() {
-	defer close(l.ended)
+	defer close(l.done)
 	for {
 		task := l.next()
 		if task == nil {
@@ -111,7 +111,7 @@
 	select {
 	case <-done:
 		return nil
-	case <-l.ended:
+	case <-l.done:
 		return l.post(task) // always an error: the loop is closed
 	}
 }
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// The state folder of a scheduler stores the incarnations of machines of an earlier test bed. Those of a later test bed
-// must be higher, however often the earlier machine was restarted.
+// The state folder of a scheduler stores the incarnations of machines of an earlier test bed. The incarnations of a
+// later test bed must be higher, however often the earlier machine was restarted.
 func TestIncarnationsIncreaseAcrossTestBeds(t *testing.T) {
 	began := time.Now()
 	earlier, later := newLifecycle("m"), newLifecycle("m")
--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -50,10 +50,10 @@
 
 // sample reads the current position of the stream. It fails if this end has closed the connection.
 func (a *arrivalTracker) sample() error {
-	asked := time.Now()
+	askedAt := time.Now()
 	position, err := a.position()
 	if err == nil {
-		a.add(arrivalSample{asked, position})
+		a.add(arrivalSample{askedAt, position})
 	}
 	return err
 }
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -29,7 +29,7 @@
 type Proxy struct {
 	recorder *Writer
 	sampler  *sampler
-	ended    chan struct{} // closed by Close
+	stop     chan struct{} // closed by Close
 
 	mu           sync.Mutex
 	stateChanged *sync.Cond
@@ -47,13 +47,13 @@
 	p := &Proxy{
 		recorder:    recorder,
 		sampler:     &sampler{streams: map[*arrivalTracker]bool{}},
-		ended:       make(chan struct{}),
+		stop:        make(chan struct{}),
 		connections: map[*connection]bool{},
 		rng:         rand.New(rand.NewPCG(seed, 3)),
 		rule:        func(string, protocol.Role, string) Fault { return Fault{} },
 	}
 	p.stateChanged = sync.NewCond(&p.mu)
-	p.background.Go(func() { p.sampler.run(p.ended) })
+	p.background.Go(func() { p.sampler.run(p.stop) })
 	return p
 }
 
@@ -83,7 +83,7 @@
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
-	close(p.ended)
+	close(p.stop)
 	for _, listener := range p.listeners {
 		loopback.CloseQuietly(listener)
 	}
@@ -149,7 +149,7 @@
 	if peer == protocol.RoleClient { // the target is the scheduler
 		c.scheduler, c.peerName = name, hello.Name
 	}
-	dialed := time.Now()
+	dialedAt := time.Now()
 	targetConn, err := loopback.Dial(target(), dialTimeout)
 	if err != nil {
 		loopback.Reset(caller)
@@ -159,7 +159,7 @@
 		loopback.CloseQuietly(targetConn)
 		return
 	}
-	p.recorder.addSince(c.entry(Opened), dialed)
+	p.recorder.addSince(c.entry(Opened), dialedAt)
 	c.run(first)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -162,7 +162,7 @@
 // A recording that an earlier release wrote must be decoded with all its values and encoded again to the same bytes.
 func TestGoldenRecordIsRead(t *testing.T) { testGoldenRecord(t, goldenVersion2, goldenEntries(t)) }
 
-// The same holds for version 1 of the format, in which entries have no lag.
+// A recording in version 1 of the format, in which entries have no lag, must be decoded and encoded in the same way.
 func TestGoldenRecordOfVersion1IsRead(t *testing.T) {
 	entries := goldenEntries(t)
 	for i := range entries {
--- a/internal/testbed/faultproxy/writer.go
+++ b/internal/testbed/faultproxy/writer.go
@@ -20,7 +20,7 @@
 	mu        sync.Mutex
 	pending   []Entry
 	wake      *sync.Cond
-	ended     bool
+	closed    bool
 	result    chan error
 }
 
@@ -60,7 +60,7 @@
 func (w *Writer) takePending() []Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.pending) == 0 && !w.ended {
+	for len(w.pending) == 0 && !w.closed {
 		w.wake.Wait()
 	}
 	entries := w.pending
@@ -102,7 +102,7 @@
 // Close ends the recording and returns the first write error.
 func (w *Writer) Close() error {
 	w.mu.Lock()
-	w.ended = true
+	w.closed = true
 	w.wake.Signal()
 	w.mu.Unlock()
 	return <-w.result
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -17,36 +17,36 @@
 // Injector injects the faults of a scenario into a cluster.
 type Injector struct {
 	*cluster.Cluster
-	spec  cluster.Spec
-	rate  float64 // submissions per second outside of bursts
-	rng   *rand.Rand
-	log   *Log
-	ended chan struct{} // closed when the scenario ends
+	spec          cluster.Spec
+	rate          float64 // submissions per second outside of bursts
+	rng           *rand.Rand
+	log           *Log
+	scenarioEnded chan struct{} // closed when the scenario ends
 
 	mu           sync.Mutex // guards rng and the fields below
 	networkRules map[int]networkRule
 	lastRule     int
-	injected     map[Kind]int // number of injections by kind
+	injections   map[Kind]int // number of injections by kind
 }
 
 // NewInjector returns an injector for a cluster whose clients submit at a rate in submissions per second.
 func NewInjector(c *cluster.Cluster, spec cluster.Spec, rate float64, log *Log) *Injector {
 	return &Injector{
-		Cluster:      c,
-		spec:         spec,
-		rate:         rate,
-		rng:          rand.New(rand.NewPCG(spec.Seed, 11)),
-		log:          log,
-		ended:        make(chan struct{}),
-		networkRules: map[int]networkRule{},
-		injected:     map[Kind]int{},
+		Cluster:       c,
+		spec:          spec,
+		rate:          rate,
+		rng:           rand.New(rand.NewPCG(spec.Seed, 11)),
+		log:           log,
+		scenarioEnded: make(chan struct{}),
+		networkRules:  map[int]networkRule{},
+		injections:    map[Kind]int{},
 	}
 }
 
 // wait sleeps for d, or until the scenario ends.
 func (i *Injector) wait(d time.Duration) {
 	select {
-	case <-i.ended:
+	case <-i.scenarioEnded:
 	case <-time.After(d):
 	}
 }
@@ -55,12 +55,12 @@
 func (i *Injector) Inject(f Fault) {
 	i.wait(f.At - i.log.Elapsed())
 	select {
-	case <-i.ended:
+	case <-i.scenarioEnded:
 		return
 	default:
 	}
 	i.mu.Lock()
-	i.injected[f.Kind]++
+	i.injections[f.Kind]++
 	i.mu.Unlock()
 	i.log.Printf("%s%s", f.Kind, f.Describe(i.spec.Zones))
 	injectors[f.Kind].inject(i, f)
@@ -68,10 +68,10 @@
 }
 
 // End ends all active faults.
-func (i *Injector) End() { close(i.ended) }
+func (i *Injector) End() { close(i.scenarioEnded) }
 
 // Injected returns the number of injections by kind of fault. It must be called after all faults have ended.
-func (i *Injector) Injected() map[Kind]int { return i.injected }
+func (i *Injector) Injected() map[Kind]int { return i.injections }
 
 // addNetworkRule applies a rule and returns the function that removes it.
 func (i *Injector) addNetworkRule(rule networkRule) (remove func()) {
--- a/internal/testbed/faults/log.go
+++ b/internal/testbed/faults/log.go
@@ -11,16 +11,16 @@
 
 // Log prints lines that begin with the seconds since the start of the scenario.
 type Log struct {
-	began time.Time
-	mu    sync.Mutex
-	out   io.Writer
+	startedAt time.Time
+	mu        sync.Mutex
+	out       io.Writer
 }
 
 // NewLog returns a log for a scenario that starts now.
-func NewLog(out io.Writer) *Log { return &Log{began: time.Now(), out: out} }
+func NewLog(out io.Writer) *Log { return &Log{startedAt: time.Now(), out: out} }
 
 // Elapsed returns the time since the start of the scenario.
-func (l *Log) Elapsed() time.Duration { return time.Since(l.began) }
+func (l *Log) Elapsed() time.Duration { return time.Since(l.startedAt) }
 
 // Printf prints one line.
 func (l *Log) Printf(format string, args ...any) {
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -131,15 +131,15 @@
 }
 
 func (a *apiReader) measureWhy(pending int) (*delays, error) {
-	measured := newDelays()
+	latencies := newDelays()
 	for i := range whyRequests {
 		began := time.Now()
 		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", pendingJob, i*7%pending)); err != nil {
 			return nil, err
 		}
-		measured.record(began)
+		latencies.record(began)
 	}
-	return measured, nil
+	return latencies, nil
 }
 
 // measureRequests returns the request rate with concurrent clients.
@@ -163,7 +163,7 @@
 
 // fanOut measures the delay between changes of a job and the events at its watchers.
 type fanOut struct {
-	sent   [watchedChanges]atomic.Int64 // Unix time of each change, in nanoseconds
+	sentAt [watchedChanges]atomic.Int64 // Unix time of each change, in nanoseconds
 	delays *delays
 	missed atomic.Int64
 }
@@ -192,7 +192,7 @@
 	for i := range watchedChanges {
 		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
 		job.RunForMS = i + 1 // identifies the change in the events
-		f.sent[i].Store(time.Now().UnixNano())
+		f.sentAt[i].Store(time.Now().UnixNano())
 		if err := controller.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 		}
 		switch event.Type {
 		case "changed":
-			f.delays.record(time.Unix(0, f.sent[event.Object.RunForMS-1].Load()))
+			f.delays.record(time.Unix(0, f.sentAt[event.Object.RunForMS-1].Load()))
 			n++
 		case "gone":
 			f.missed.Add(int64(watchedChanges - n))
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -22,7 +22,7 @@
 type jobLoad struct {
 	controller *process.Controller
 	rate       int
-	sent       []atomic.Int64 // Unix time of the creation of each job, in nanoseconds
+	sentAt     []atomic.Int64 // Unix time of the creation of each job, in nanoseconds
 	delays     *delays
 }
 
@@ -34,7 +34,7 @@
 		load := &jobLoad{
 			controller: controller,
 			rate:       rate,
-			sent:       make([]atomic.Int64, total),
+			sentAt:     make([]atomic.Int64, total),
 			delays:     newDelays(),
 		}
 		running, err := load.run()
@@ -70,14 +70,14 @@
 	case running = <-done:
 		return running, nil
 	case <-time.After(10 * time.Second):
-		return 0, fmt.Errorf("not all of %d jobs are running 10 s after the last request", len(l.sent))
+		return 0, fmt.Errorf("not all of %d jobs are running 10 s after the last request", len(l.sentAt))
 	}
 }
 
 // readRunning reads events until all jobs are running or the watch ends. It returns the number of running jobs.
 func (l *jobLoad) readRunning(events io.Reader) int {
 	running := 0
-	for lines := bufio.NewScanner(events); running < len(l.sent) && lines.Scan(); {
+	for lines := bufio.NewScanner(events); running < len(l.sentAt) && lines.Scan(); {
 		var event struct {
 			ID     string
 			Object struct{ State string }
@@ -87,7 +87,7 @@
 		}
 		var job int
 		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == process.StateRunning {
-			l.delays.record(time.Unix(0, l.sent[job].Load()))
+			l.delays.record(time.Unix(0, l.sentAt[job].Load()))
 			running++
 		}
 	}
@@ -105,11 +105,11 @@
 		clients.Go(func() {
 			for errs[client] == nil {
 				job := int(next.Add(1)) - 1
-				if job >= len(l.sent) {
+				if job >= len(l.sentAt) {
 					return
 				}
 				time.Sleep(time.Until(began.Add(time.Duration(float64(job) / float64(l.rate) * float64(time.Second)))))
-				l.sent[job].Store(time.Now().UnixNano())
+				l.sentAt[job].Store(time.Now().UnixNano())
 				errs[client] = l.controller.CreateJob(fmt.Sprint("j", job), process.WorkloadMatcher, 1, 0.1, 0.1)
 			}
 		})
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -21,8 +21,8 @@
 	Busy                 float64 // fraction of the time for which the event loop was busy
 	DecidingShare        float64 // fraction of the busy time spent on decisions
 	DecidingMicroseconds float64 // spent on decisions per submission
-	MiB                  float64 // live heap at the end
-	MiBBefore            float64 // live heap with all connections open, before the first submission
+	HeapMiB              float64 // live heap at the end
+	HeapMiBBefore        float64 // live heap with all connections open, before the first submission
 	KnownContainers      float64 // containers that the scheduler knows at the end
 	Connections          float64
 }
@@ -70,8 +70,8 @@
 		Busy:                 busy / (stats["up"] - before["up"]),
 		DecidingShare:        deciding / busy,
 		DecidingMicroseconds: deciding / stats["submissions"] * 1e6,
-		MiB:                  stats["heap live"],
-		MiBBefore:            before["heap live"],
+		HeapMiB:              stats["heap live"],
+		HeapMiBBefore:        before["heap live"],
 		KnownContainers:      stats["containers known"],
 		Connections:          stats["connections"],
 	}, nil
--- a/internal/testbed/loopback/reservedlisten_test.go
+++ b/internal/testbed/loopback/reservedlisten_test.go
@@ -22,7 +22,7 @@
 	for range starters {
 		starting.Go(func() {
 			for ctx.Err() == nil {
-				_ = exec.CommandContext(ctx, os.Args[0], "-test.run=^$").Run() // the last ones are killed
+				_ = exec.CommandContext(ctx, os.Args[0], "-test.run=^$").Run() // cancel kills the last children
 			}
 		})
 	}
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -38,7 +38,7 @@
 	port    *loopback.Reservation
 	mu      sync.Mutex
 	process *os.Process
-	exited  chan struct{}
+	exited  chan struct{} // closed when the process has exited
 }
 
 // NewScheduler reserves a port for a scheduler and opens its log. The caller writes the settings file.
--- a/internal/testbed/process/scheduler_test.go
+++ b/internal/testbed/process/scheduler_test.go
@@ -21,6 +21,6 @@
 	defer loopback.CloseQuietly(other)
 	go loopback.AcceptAll(other, func(conn net.Conn) { loopback.CloseQuietly(conn) })
 	if err := scheduler.Start(); err == nil || !strings.Contains(err.Error(), "exited during startup") {
-		t.Errorf("got %v", err)
+		t.Errorf("start returned %v", err)
 	}
 }
--- a/internal/testbed/process/wait.go
+++ b/internal/testbed/process/wait.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// WaitUntil polls a condition until it holds. It returns an error after atMost.
-func WaitUntil(condition string, atMost time.Duration, holds func() bool) error {
-	return Poll(10*time.Millisecond, atMost, condition, holds)
+// WaitUntil polls a condition until it holds. It returns an error after timeout.
+func WaitUntil(condition string, timeout time.Duration, holds func() bool) error {
+	return Poll(10*time.Millisecond, timeout, condition, holds)
 }
 
 // Poll is WaitUntil with a given polling interval.
-func Poll(interval, atMost time.Duration, condition string, holds func() bool) error {
-	for end := time.Now().Add(atMost); !holds(); time.Sleep(interval) {
+func Poll(interval, timeout time.Duration, condition string, holds func() bool) error {
+	for end := time.Now().Add(timeout); !holds(); time.Sleep(interval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("condition not met within %v: %s", atMost, condition)
+			return fmt.Errorf("condition not met within %v: %s", timeout, condition)
 		}
 	}
 	return nil
