--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -19,7 +19,7 @@
 	actions  []Action
 	services map[string]*service
 	changed  map[string]bool // names of services to update after the current events
-	wakeAt   scheduler.Time  // when the timer fires
+	wakeAt   scheduler.Time  // when the earliest timer fires
 }
 
 // New returns an Announcer without services.
--- a/internal/bgp/session/components_test.go
+++ b/internal/bgp/session/components_test.go
@@ -26,7 +26,7 @@
 	timers := newTimers(actions)
 	timers.startNegotiatedTimers(9 * scheduler.Second)
 	if got := actions.take(); got[1] != (SetTimer{KeepaliveTimer, 3 * scheduler.Second}) {
-		t.Errorf("actions %+v", got)
+		t.Errorf("%+v", got)
 	}
 	timers.startNegotiatedTimers(0)
 	timers.restartHoldTimer()
@@ -40,7 +40,7 @@
 	o := openMessage(func(o *wire.Open) { o.Families = bothFamilies[1:] })
 	testutil.Equal(t, n.holdTime(o), 30*scheduler.Second, "hold time")
 	up := n.result(o)
-	testutil.Expect(t, len(up.Families) == 1 && up.Families[0] == wire.IPv6 && !up.SendEndOfRIB, "negotiated %+v", up)
+	testutil.Expect(t, len(up.Families) == 1 && up.Families[0] == wire.IPv6 && !up.SendEndOfRIB, "%+v", up)
 	testutil.Expect(t, n.keepsInbound(o), "the connection of the side with the lower identifier is kept")
 }
 
@@ -51,7 +51,7 @@
 	connections.abandonDial()
 	connections.abandonDial()
 	got := actions.take()
-	testutil.Expect(t, len(got) == 2 && got[1] == (CloseConn{1}), "actions %+v", got)
+	testutil.Expect(t, len(got) == 2 && got[1] == (CloseConn{1}), "%+v", got)
 	if !connections.isAbandoned(ConnOpened{Conn: 1}) || connections.isAbandoned(ConnOpened{Conn: 1, Inbound: true}) {
 		t.Error("only the opened connection of the abandoned dial counts as abandoned")
 	}
--- a/internal/bgp/session/ending.go
+++ b/internal/bgp/session/ending.go
@@ -33,12 +33,12 @@
 
 // rejectUnexpected resets a connection on a message that its state does not allow (RFC 6608).
 func (s *Session) rejectUnexpected(c *connection, m wire.Message) {
-	subcode, reason := wire.SubcodeUnexpectedInOpenSent, fmt.Sprintf("received %T instead of an Open", m)
+	subcode, reason := wire.SubcodeUnexpectedInOpenSent, fmt.Sprintf("%T instead of an Open", m)
 	switch s.stateOf(c) {
 	case OpenConfirm:
-		subcode, reason = wire.SubcodeUnexpectedInOpenConfirm, fmt.Sprintf("received %T instead of a Keepalive", m)
+		subcode, reason = wire.SubcodeUnexpectedInOpenConfirm, fmt.Sprintf("%T instead of a Keepalive", m)
 	case Established:
-		subcode, reason = wire.SubcodeUnexpectedInEstablished, fmt.Sprintf("received %T in an established session", m)
+		subcode, reason = wire.SubcodeUnexpectedInEstablished, fmt.Sprintf("%T in an established session", m)
 	case Idle, Connect, Active, OpenSent:
 	}
 	s.resetConnection(c, &wire.MessageError{
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,7 +29,7 @@
 	state         loopState
 	onIteration   func()
 	onFlushed     func()
-	busy          time.Duration
+	busy          time.Duration // time spent in iterations, without the waiting
 	iterations    int
 	stalls        stallMonitor
 	posts         postQueue
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -63,6 +63,6 @@
 	long := testutil.Receive(t, stalls)
 	testutil.Expect(t, long.StartDelay < time.Second && long.BusyTime >= pause, "%+v after a long iteration", long)
 	for _, s := range []Stall{late, long} {
-		testutil.Expect(t, s.Period >= pause-time.Second && s.CPUTime == time.Millisecond, "stall %+v", s)
+		testutil.Expect(t, s.Period >= pause-time.Second && s.CPUTime == time.Millisecond, "%+v", s)
 	}
 }
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -101,7 +101,7 @@
 	testutil.WriteFile(t, path, nil)
 	var pathErr *fs.PathError
 	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
-		t.Errorf("a file in place of the directory: %v", err)
+		t.Errorf("%v", err)
 	}
 	path = t.TempDir()
 	testutil.NoError(t, os.Mkdir(filepath.Join(path, "lock"), 0o755))
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -160,12 +160,12 @@
 	r.segment, r.failing = names[len(names)-1], "sync"
 	r.fs.InjectError = r.injectError // stays set until the end, to record operations on the failed segment
 	if err := r.commit("c"); !errors.Is(err, ErrSyncFailed) {
-		t.Fatalf("commit with a failing sync: %v", err)
+		t.Fatalf("%v", err)
 	}
 	r.failing = operation
 	for range 2 {
 		if err := r.commit("d"); !errors.Is(err, ErrSyncFailed) && operation != "remove" {
-			t.Errorf("commit with a failing rewrite: %v", err)
+			t.Errorf("%v", err)
 		}
 	}
 	r.failing = ""
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -45,7 +45,7 @@
 			testutil.Expect(t, modeChanges == 2,
 				"%d mode changes reported, want one when commits are rejected and one at the end", modeChanges)
 			values := valuesOf(t, mustLoad(t, fs))
-			testutil.Expect(t, maps.Equal(values, map[string]string{"a": "1", "c": "3"}), "values %v", values)
+			testutil.Expect(t, maps.Equal(values, map[string]string{"a": "1", "c": "3"}), "%v", values)
 		})
 	}
 }
@@ -64,7 +64,7 @@
 	fs := faultfs.New()
 	fs.InjectError = func(string, string) error { return syscall.EROFS }
 	if _, _, err := Open(fs, Options{}); !errors.Is(err, syscall.EROFS) {
-		t.Errorf("read-only directory: %v", err)
+		t.Errorf("%v", err)
 	}
 }
 
@@ -74,7 +74,7 @@
 	testutil.NoError(t, err)
 	_, err = vfs.OpenLocked(path)
 	locked, ok := errors.AsType[*vfs.LockedError](err)
-	testutil.Expect(t, ok && strings.Contains(locked.Holder, strconv.Itoa(os.Getpid())), "locked directory: %v", err)
+	testutil.Expect(t, ok && strings.Contains(locked.Holder, strconv.Itoa(os.Getpid())), "%v", err)
 	testutil.NoError(t, held.Close())
 	again, err := vfs.OpenLocked(path)
 	testutil.NoError(t, err)
@@ -85,6 +85,6 @@
 	l, _ := mustOpen(t, faultfs.New(), Options{})
 	mustClose(t, l)
 	if err := l.CommitSync(putText("a", "1")); !errors.Is(err, ErrClosed) {
-		t.Errorf("commit after Close: %v", err)
+		t.Errorf("%v", err)
 	}
 }
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -90,7 +90,7 @@
 			}
 			l, stats := mustOpen(t, fs, Options{})
 			defer mustClose(t, l)
-			testutil.Expect(t, stats.Records == tc.left && len(valuesOf(t, l.State())) == tc.left, "stats %+v", stats)
+			testutil.Expect(t, stats.Records == tc.left && len(valuesOf(t, l.State())) == tc.left, "%+v", stats)
 			mustCommit(t, l, true, putText("more", "y"))
 		})
 	}
--- a/internal/storage/wal/snapshot_test.go
+++ b/internal/storage/wal/snapshot_test.go
@@ -34,8 +34,8 @@
 	mustCommit(t, l, true)
 	mustClose(t, l)
 	counters := l.Counters()
-	testutil.Expect(t, counters.Snapshots >= wantSnapshots, "counters %+v", counters)
+	testutil.Expect(t, counters.Snapshots >= wantSnapshots, "%+v", counters)
 	testutil.Expect(t, maps.Equal(valuesOf(t, mustLoad(t, dir)), want), "the loaded state is not the committed one")
 	names := mustList(t, dir)
-	testutil.Expect(t, len(names) <= 4, "files %v", names)
+	testutil.Expect(t, len(names) <= 4, "%v", names)
 }
--- a/internal/testbed/emulator/components_test.go
+++ b/internal/testbed/emulator/components_test.go
@@ -46,7 +46,7 @@
 	for _, service := range []string{"a", "b", "a", "c", "d"} {
 		c.touch(service)
 	}
-	testutil.Expect(t, slices.Equal(c.recent, []string{"d", "c"}) && c.has("a") && !c.has("b"), "cache %+v", c)
+	testutil.Expect(t, slices.Equal(c.recent, []string{"d", "c"}) && c.has("a") && !c.has("b"), "%+v", c)
 	if c.release("a"); c.has("a") {
 		t.Errorf("cache %+v after the last container of a", c)
 	}
--- a/internal/testbed/emulator/host.go
+++ b/internal/testbed/emulator/host.go
@@ -6,7 +6,7 @@
 	"glenport/internal/protocol"
 )
 
-// host is the machine of a component.
+// host is the interface of a machine to its components.
 type host interface {
 	// post queues a task for the goroutine of the machine.
 	post(task func())
@@ -16,7 +16,7 @@
 	sendTo(c *container, frame protocol.Frame)
 	// report returns the load of the machine by metric, as results and probe replies carry it.
 	report() map[string]float64
-	// startPace returns the fraction of the full pace at which the machine starts containers.
+	// startPace returns the pace at which the machine starts containers, as a fraction of the full pace.
 	startPace() float64
 	// containerStopped is called when a container that ran has ended.
 	containerStopped(id string)
--- a/internal/testbed/emulator/slow_start.go
+++ b/internal/testbed/emulator/slow_start.go
@@ -23,7 +23,7 @@
 	return len(s.recentOffers) > s.spec.SlowStartCapacity
 }
 
-// pace returns the fraction of the full pace at which the machine starts containers; it rises linearly to 1.
+// pace returns the pace at which the machine starts containers, as a fraction of the full pace. It rises linearly to 1.
 func (s *slowStart) pace(startedAt time.Time) float64 {
 	age := time.Since(startedAt)
 	if age >= s.spec.SlowStartPeriod {
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -165,7 +165,7 @@
 type fanOut struct {
 	sentAt [watchedChanges]atomic.Int64 // Unix time of each change, in nanoseconds
 	delays *delays
-	missed atomic.Int64
+	missed atomic.Int64 // number of events that watchers did not read
 }
 
 // measureFanOut changes a job repeatedly and measures the delay until each watcher reads the event.
