--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -25,7 +25,7 @@
 
 // After each crash, also during recovery, the directory holds the state after some commit, which is not earlier than
 // the last commit that was acknowledged as durable.
-func TestStateAfterCrashIsThatOfSomeCommit(t *testing.T) {
+func TestStateAfterCrashMatchesSomeCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashModel{fs: faultfs.New(), history: []map[string]string{{}}}
 		for range rapid.IntRange(1, 5).Draw(t, "incarnations") {
--- a/internal/testbed/cluster/spec.go
+++ b/internal/testbed/cluster/spec.go
@@ -22,7 +22,7 @@
 	Workloads     []emulator.WorkloadProfile // by workload class
 	DrainGrace    scheduler.Time
 	Slack         scheduler.Time
-	BGP           *config.BGP // replaces the BGP settings of the template; nil: does not
+	BGP           *config.BGP // nil: the BGP settings of the template apply
 }
 
 // MachineCount is the number of machines of a type in each zone.
--- a/internal/testbed/emulator/client_tally.go
+++ b/internal/testbed/emulator/client_tally.go
@@ -27,7 +27,7 @@
 	Retried          int                     // submissions that are retries
 	Ended            int                     // placed containers whose termination a client received
 	Evicted          int                     // ended containers that were evicted for lack of memory
-	Lost             int                     // ended containers lost for another reason, as with their machine
+	Lost             int                     // ended containers that were lost for a reason other than memory
 	Unsent           int                     // no scheduler was connected
 	Pending          int                     // without a reply when the clients were closed
 	PlacedLate       int                     // placements that took more than a second
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// expire makes the claim of a container that ran end with its deduplication window.
+// expire lets the claim of a container that ran expire at the end of its deduplication window.
 func (g *DedupGroup) expire(c *container) {
 	if c.spec.DedupWindow <= 0 {
 		return
--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -28,7 +28,7 @@
 	samples []arrivalSample // in order of time; lastSampleBefore drops samples that are no longer needed
 }
 
-// arrivalSample records that at a time no byte after a position had arrived.
+// arrivalSample records that no byte after position had arrived at the time at.
 type arrivalSample struct {
 	at       time.Time
 	position uint64 // endOfStream if the other end has closed or reset the connection
