--- a/internal/storage/wal/fileheader.go
+++ b/internal/storage/wal/fileheader.go
@@ -89,7 +89,7 @@
 
 // checkFirstGroup checks that the first group in the header of a file is the one in its name.
 func checkFirstGroup(file segmentFile, first uint64) error {
-	if first == file.first {
+	if first == file.firstGroup {
 		return nil
 	}
 	return &CorruptionError{
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -11,9 +11,9 @@
 
 // segmentFile is a segment or a snapshot in a directory.
 type segmentFile struct {
-	name  string
-	first uint64 // number of the first group
-	size  int    // in bytes; set when the segment is read
+	name       string
+	firstGroup uint64 // number of the first group
+	size       int    // in bytes; set when the segment is read
 }
 
 // segmentPosition tells whether a segment is the last one. A crash can truncate only the last one.
@@ -42,12 +42,12 @@
 		if err := s.readSnapshot(fs, newest); err != nil {
 			return s, err
 		}
-		next = newest.first
+		next = newest.firstGroup
 		s.markObsolete(snapshots[:n-1])
 	}
 	s.FirstGroup, s.LastGroup = next, next-1
 	covered := 0
-	for covered < len(segments) && segments[covered].first < next {
+	for covered < len(segments) && segments[covered].firstGroup < next {
 		covered++
 	}
 	s.markObsolete(segments[:covered])
@@ -69,14 +69,14 @@
 func (s *State) classify(names []string) (snapshots, segments []segmentFile) {
 	for _, name := range names {
 		if first, ok := parseFileName(name, snapshotPrefix); ok {
-			snapshots = append(snapshots, segmentFile{name: name, first: first})
+			snapshots = append(snapshots, segmentFile{name: name, firstGroup: first})
 		} else if first, ok := parseFileName(name, segmentPrefix); ok {
-			segments = append(segments, segmentFile{name: name, first: first})
+			segments = append(segments, segmentFile{name: name, firstGroup: first})
 		} else if isUnfinished(name) {
 			s.obsoleteFiles = append(s.obsoleteFiles, name)
 		}
 	}
-	byFirstGroup := func(a, b segmentFile) int { return cmp.Compare(a.first, b.first) }
+	byFirstGroup := func(a, b segmentFile) int { return cmp.Compare(a.firstGroup, b.firstGroup) }
 	slices.SortFunc(snapshots, byFirstGroup)
 	slices.SortFunc(segments, byFirstGroup)
 	return snapshots, segments
@@ -136,9 +136,9 @@
 func (s *State) readSegments(fs vfs.FS, segments []segmentFile) error {
 	for i := range segments {
 		segment := &segments[i]
-		if next := s.LastGroup + 1; segment.first != next {
+		if next := s.LastGroup + 1; segment.firstGroup != next {
 			const detail = "it begins with group %d, and the one wanted next is %d: a file is missing"
-			return &CorruptionError{segment.name, 0, fmt.Sprintf(detail, segment.first, next)}
+			return &CorruptionError{segment.name, 0, fmt.Sprintf(detail, segment.firstGroup, next)}
 		}
 		position := segmentNotLast
 		if i == len(segments)-1 {
@@ -209,7 +209,7 @@
 // segment was acknowledged. Otherwise it returns headerErr.
 func (s *State) checkTornHeader(segment segmentFile, data []byte, position segmentPosition, headerErr error) error {
 	_, unsupported := errors.AsType[*UnsupportedVersionError](headerErr)
-	if unsupported || position != segmentLast || laterDurableGroup(data, 0, segment.first) > 0 {
+	if unsupported || position != segmentLast || laterDurableGroup(data, 0, segment.firstGroup) > 0 {
 		return headerErr
 	}
 	s.lastHeaderInvalid, s.TruncatedBytes = true, len(data)
--- a/internal/testbed/emulator/start_queue.go
+++ b/internal/testbed/emulator/start_queue.go
@@ -4,7 +4,7 @@
 type startQueue struct {
 	limit    int
 	waiting  []*container
-	starting int
+	starting int // number of starts in progress
 }
 
 func (q *startQueue) push(c *container) { q.waiting = append(q.waiting, c) }
