--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -19,7 +19,7 @@
 	actions  []Action
 	services map[string]*service
 	changed  map[string]bool // names of services to update after the current events
-	wakeAt   scheduler.Time  // when the timer fires
+	wakeAt   scheduler.Time  // when the earliest timer fires
 }
 
 // New returns an Announcer without services.
@@ -161,7 +161,8 @@
 	}
 }
 
-// setTimer sets the timer for the earliest update that is due without another event, unless it already fires by then.
+// setTimer sets the timer for the earliest update that is due without another event, unless a timer already fires by
+// then.
 func (a *Announcer) setTimer() {
 	next := scheduler.Time(0)
 	for _, s := range a.services {
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -29,10 +29,10 @@
 	slot       *slot  // nil: the timer has run or was cancelled; &expiringSlot: it is about to run
 }
 
-// slot holds the timers whose expiry, in base 64, has the digit index at position level.
+// slot holds the timers of one slot of a level: the digit of their expiry in base 64 at position level is index.
 type slot struct {
 	level, index int
-	first        *Timer // the timer inserted last
+	head         *Timer // the timer inserted last
 }
 
 // TimerWheel is a hierarchical timing wheel. Each level holds 64 slots, and each slot spans the whole level below.
@@ -59,8 +59,9 @@
 // Len is the number of timers scheduled and not yet run or cancelled.
 func (w *TimerWheel) Len() int { return w.size }
 
-// Schedule schedules a callback, which the first Advance to the time at or later runs, but never an Advance that is in
-// progress. The expiry is limited to half the wheel's span from now, about six years.
+// Schedule schedules a callback for the time at. The first later call of Advance that reaches this time runs the
+// callback; an Advance that is in progress never runs it. The expiry is limited to half the wheel's span from now,
+// about six years.
 func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
 	expiry := min(max(at, w.now+1), w.now+maxSpan/2)
 	timer := &Timer{expiry: expiry, callback: callback}
@@ -84,11 +85,11 @@
 	level := (bits.Len64(uint64(t.expiry^w.now)|(slots-1)) - 1) / slotBits
 	level = min(level, levels-1)
 	s := &w.slots[level][int(t.expiry>>(slotBits*level))&(slots-1)]
-	t.slot, t.prev, t.next = s, nil, s.first
-	if s.first != nil {
-		s.first.prev = t
+	t.slot, t.prev, t.next = s, nil, s.head
+	if s.head != nil {
+		s.head.prev = t
 	}
-	s.first = t
+	s.head = t
 	w.occupied[level] |= 1 << s.index
 }
 
@@ -97,12 +98,12 @@
 	if t.prev != nil {
 		t.prev.next = t.next
 	} else {
-		s.first = t.next
+		s.head = t.next
 	}
 	if t.next != nil {
 		t.next.prev = t.prev
 	}
-	if s.first == nil {
+	if s.head == nil {
 		w.occupied[s.level] &^= 1 << s.index
 	}
 	t.slot, t.prev, t.next = nil, nil, nil
@@ -130,8 +131,8 @@
 	return nil, 0
 }
 
-// NextExpiry is the time at which Advance next has work, which is never later than the first expiry. scheduled is false
-// on an empty wheel.
+// NextExpiry is the time at which Advance next has to be called: the first expiry, or an earlier time at which timers
+// move to a lower level. scheduled is false on an empty wheel.
 func (w *TimerWheel) NextExpiry() (at Tick, scheduled bool) {
 	s, begin := w.earliestSlot()
 	return begin, s != nil
@@ -156,7 +157,7 @@
 // The slot must be empty before the first callback runs, as callbacks may schedule timers into it.
 func (w *TimerWheel) takeExpired(s *slot) []*Timer {
 	var expired []*Timer
-	for t := s.first; t != nil; t = s.first {
+	for t := s.head; t != nil; t = s.head {
 		w.remove(t)
 		if t.expiry > w.now {
 			w.insert(t)
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -124,7 +124,7 @@
 	f, err = d.Append("a")
 	testutil.NoError(t, err)
 	testutil.NoError(t, f.Truncate(3))
-	mustWrite(t, f, nil, " three") // at the new end
+	mustWrite(t, f, nil, " three") // appended at the end after the truncation
 	wantFile(t, d, "a", "one three")
 	f, err = d.Create("b")
 	mustWrite(t, f, err, "other")
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -25,7 +25,7 @@
 
 // After each crash, also during recovery, the directory holds the state after some commit, which is not earlier than
 // the last commit that was acknowledged as durable.
-func TestStateAfterCrashIsThatOfSomeCommit(t *testing.T) {
+func TestStateAfterCrashMatchesSomeCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashModel{fs: faultfs.New(), history: []map[string]string{{}}}
 		for range rapid.IntRange(1, 5).Draw(t, "incarnations") {
@@ -132,9 +132,9 @@
 	}
 }
 
-// After a failed sync the same process rewrites the state as soon as the disk permits. Wherever the system crashes
-// meanwhile, acknowledged commits survive in every state in which the disk may be found. The file whose sync failed is
-// not used again.
+// After a failed sync the same process rewrites the state as soon as the disk permits. Whenever the system crashes
+// during the rewrite, acknowledged commits survive in every state in which the crash may leave the disk. The file whose
+// sync failed is not used again.
 func TestRewriteAfterFailedSyncSurvivesCrashes(t *testing.T) {
 	for _, operation := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+operation, func(t *testing.T) {
--- a/internal/testbed/bench/peers.go
+++ b/internal/testbed/bench/peers.go
@@ -28,9 +28,9 @@
 		send(protocol.NewHello(protocol.RoleMachine, m.name, 1), &protocol.Inventory{MachineIncarnation: 1})
 	case *protocol.Offer:
 		if m.capacity == Full {
-			refusal := protocol.Result{Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores}
-			refusal.AttemptID = frame.AttemptID
-			send(&refusal)
+			rejection := protocol.Result{Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores}
+			rejection.AttemptID = frame.AttemptID
+			send(&rejection)
 			return
 		}
 		send(&protocol.Accept{AttemptID: frame.AttemptID, Running: true})
@@ -76,7 +76,7 @@
 // instantList answers every watch with a full snapshot.
 type instantList struct{ machines []*instantMachine }
 
-// serve serves peer on all connections of a listener until that is closed.
+// serve serves peer on all connections of a listener until the listener is closed.
 func (b *Cluster) serve(l net.Listener, peer instantPeer) {
 	loopback.AcceptAll(l, func(c net.Conn) {
 		b.goroutines.Go(func() { b.serveConnection(c, peer) })
--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -16,7 +16,7 @@
 
 // WorkloadProfile describes the containers of one workload class that clients submit.
 type WorkloadProfile struct {
-	Share            float64 // of all submissions
+	Share            float64 // fraction of all submissions
 	Services         int
 	Cores            []float64 // drawn at random, with Memory at the same index
 	Memory           []float64
@@ -126,12 +126,12 @@
 }
 
 // Redeploy cancels a random fraction of the placed containers and submits them again.
-func (c *Clients) Redeploy(part float64) {
+func (c *Clients) Redeploy(fraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.outstanding {
 		conn := c.conns[s.scheduler]
-		if !s.placed || conn == nil || c.rng.Float64() >= part {
+		if !s.placed || conn == nil || c.rng.Float64() >= fraction {
 			continue
 		}
 		delete(c.outstanding, id)
--- a/internal/testbed/emulator/components_test.go
+++ b/internal/testbed/emulator/components_test.go
@@ -48,7 +48,7 @@
 	}
 	testutil.Expect(t, slices.Equal(c.recent, []string{"d", "c"}) && c.has("a") && !c.has("b"), "%+v", c)
 	if c.release("a"); c.has("a") {
-		t.Errorf("%+v after the last container of a", c)
+		t.Errorf("cache %+v after the last container of a", c)
 	}
 }
 
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// expire leaves the claim of a container that ran in place until its window ends.
+// expire lets the claim of a container that ran expire at the end of its deduplication window.
 func (g *DedupGroup) expire(c *container) {
 	if c.spec.DedupWindow <= 0 {
 		return
--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -20,15 +20,15 @@
 var errNotTCP = errors.New("not a TCP connection")
 
 // arrivalTracker tracks when the bytes of a stream arrive at its socket, whether they have been read or not. It samples
-// the kernel's count of received bytes and assumes nothing that no sample shows.
+// the kernel's count of received bytes and relies on the samples alone.
 type arrivalTracker struct {
 	conn syscall.RawConn
 
 	mu      sync.Mutex
-	samples []arrivalSample // in order of time; lastSampleBefore drops those no longer needed
+	samples []arrivalSample // in order of time; lastSampleBefore drops samples that are no longer needed
 }
 
-// arrivalSample records that no byte after a position had arrived at a time.
+// arrivalSample records that no byte after position had arrived at the time at.
 type arrivalSample struct {
 	at       time.Time
 	position uint64 // endOfStream if the other end has closed or reset the connection
@@ -50,10 +50,10 @@
 
 // sample reads the current position of the stream. It fails if this end has closed the connection.
 func (a *arrivalTracker) sample() error {
-	asked := time.Now()
+	askedAt := time.Now()
 	position, err := a.position()
 	if err == nil {
-		a.add(arrivalSample{asked, position})
+		a.add(arrivalSample{askedAt, position})
 	}
 	return err
 }
