--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -1,9 +1,9 @@
 package adoption
 
-// Limits of all claims together.
+// Limits on the total number of claims.
 const (
 	memoryDivisor = 8      // claims may use an eighth of the memory granted
-	bytesPerClaim = 5 << 9 // used per adopted container, here and in the scheduler, including its machine
+	bytesPerClaim = 5 << 9 // memory for an adopted container and its machine, here and in the scheduler
 )
 
 // MaxClaims returns the maximum number of adopted claims, given the memory that the platform grants.
@@ -22,7 +22,7 @@
 
 // Machine is the machine of a claim.
 type Machine struct {
-	Listed   bool // it is on the machine list
+	Listed   bool // whether it is on the machine list
 	Capacity Capacity
 	Running  Load // of all containers known to run there
 }
@@ -30,11 +30,11 @@
 // Decision is the decision on a claim.
 type Decision struct {
 	Adopt     bool
-	Displaced []string // containers whose claims it displaces; they no longer count as running
+	Displaced []string // containers whose claims the new claim displaces; they no longer count as running
 }
 
-// Claims owns the adopted claims that are not confirmed, each until its container ends, and the filter of rejected and
-// displaced claims.
+// Claims holds the adopted claims that no machine has confirmed, each until its container ends. It also holds the
+// filter of the rejected and displaced claims.
 type Claims struct {
 	limit      int
 	claims     map[string]*adoptedClaim            // by container
@@ -47,12 +47,12 @@
 // adoptedClaim is a claim that was adopted.
 type adoptedClaim struct {
 	Claim
-	listed bool   // its machine was on the machine list
+	listed bool   // whether its machine was on the machine list at the adoption
 	number uint64 // ascending, in the order of adoption
 }
 
-// New returns an empty set of claims with a limit on their number. The first claim at each listed machine is adopted
-// beyond the limit.
+// New returns an empty set of claims with a limit on their number. The limit does not apply to the first claim at each
+// listed machine.
 func New(limit int) *Claims {
 	return &Claims{
 		limit:     limit,
@@ -62,7 +62,7 @@
 	}
 }
 
-// Decide decides on a claim to a container that is not known yet. It removes the claims that it displaces.
+// Decide decides on a claim to a container that is not known yet. It removes the claims that the new claim displaces.
 func (c *Claims) Decide(claim Claim, machine Machine) Decision {
 	displaced, fits := c.makeRoom(claim, machine)
 	if !fits {
@@ -79,10 +79,12 @@
 	return decision
 }
 
-// WasRejected reports whether a claim was rejected or displaced. It rarely reports true for another claim.
+// WasRejected reports whether a claim was rejected or displaced. In rare cases it reports true for a claim that was
+// neither.
 func (c *Claims) WasRejected(id, machine string) bool { return c.rejected.contains(id, machine) }
 
-// Remove removes the claim to a container, if any, when the container has ended or its machine has confirmed it.
+// Remove removes the claim to a container, if there is one. It is called when the container has ended, or when its
+// machine has confirmed that it is running.
 func (c *Claims) Remove(id string) {
 	claim := c.claims[id]
 	if claim == nil {
@@ -93,7 +95,8 @@
 	remove(c.byClient, claim.Client, id)
 }
 
-// ClientDisconnected adds the claims of a connection that has ended to those of all ended connections.
+// ClientDisconnected moves the claims of a connection that has ended to client 0, which stands for all ended
+// connections.
 func (c *Claims) ClientDisconnected(client ClientID) {
 	for id, claim := range c.byClient[client] {
 		claim.Client = 0
--- a/internal/platform/adoption/capacity.go
+++ b/internal/platform/adoption/capacity.go
@@ -26,8 +26,8 @@
 // NewCapacity returns the capacity of a machine with the given honored capacity of cores and memory, where mean is the
 // average load of a container.
 func NewCapacity(honored, mean Load) Capacity {
-	ofMeanSize := max(honored.Cores/mean.Cores, honored.Memory/mean.Memory)
-	honored.Containers = int(containerCountFactor * max(1, ofMeanSize))
+	meanSizedCount := max(honored.Cores/mean.Cores, honored.Memory/mean.Memory)
+	honored.Containers = int(containerCountFactor * max(1, meanSizedCount))
 	return Capacity(honored)
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// hasRoom reports whether a machine with the given load would accept another container. Machines accept a container
-// while their load does not exceed their capacity, so the last accepted container may exceed it.
+// hasRoom reports whether a machine with the given load would accept another container. A machine accepts a container
+// if its load without that container is within the capacity. Its load with the container may exceed the capacity.
 func (c Capacity) hasRoom(load Load) bool {
 	return load.Cores <= c.Cores && load.Memory <= c.Memory && load.Containers < c.Containers
 }
--- a/internal/platform/adoption/displace.go
+++ b/internal/platform/adoption/displace.go
@@ -29,7 +29,7 @@
 	}
 	largest := c.largestClient()
 	if !d.canLoseClaim(largest) {
-		return nil, false // without iterating over its claims
+		return nil, false // saves the iteration over the claims of that connection
 	}
 	return d.victims, d.chooseVictim(c.byClient[largest]) != nil
 }
@@ -41,7 +41,8 @@
 	return claim.listed && len(c.byMachine[claim.Machine]) == 1
 }
 
-// largestClient returns the connection with the most claims; of several, the latest.
+// largestClient returns the connection with the most claims. If several have as many, it returns the one that was
+// opened last.
 func (c *Claims) largestClient() ClientID {
 	var largest ClientID
 	for client, claims := range c.byClient {
@@ -75,8 +76,8 @@
 		!slices.Contains(d.victims, candidate)
 }
 
-// canLoseClaim reports whether a connection that loses a claim still has at least as many as the connection of the new
-// claim then has.
+// canLoseClaim reports whether a connection that loses one claim still has at least as many claims as the connection of
+// the new claim has after the adoption.
 func (d *displacement) canLoseClaim(client ClientID) bool {
 	return d.claimsLeft(client) > len(d.claims.byClient[d.client])+1
 }
@@ -87,7 +88,7 @@
 	return left > otherLeft || left == otherLeft && candidate.number > other.number
 }
 
-// claimsLeft returns the number of claims that a connection has left.
+// claimsLeft returns the number of claims of a connection that are not victims.
 func (d *displacement) claimsLeft(client ClientID) int {
 	return len(d.claims.byClient[client]) - d.counts[client]
 }
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -29,7 +29,7 @@
 // hasKey reports whether the container was requested with an idempotency key.
 func (a *attempt) hasKey(key string) bool { return a.container.request.IdempotencyKey == key }
 
-// usesConn reports whether the attempt waits for a connection or was offered on it.
+// usesConn reports whether the attempt waits for a connection, or has sent its offer on it.
 func (a *attempt) usesConn(mc *machineConn) bool { return a.conn == mc }
 
 // createdAtOrBefore reports whether the attempt was created at or before a point in time.
@@ -51,18 +51,20 @@
 	a.conn.whenEstablished(a.connEstablished)
 }
 
-// isStale reports whether the scheduler decided on outdated information: the machine no longer accepts new containers
-// or has restarted, or more containers of the service have been adopted since.
+// isStale reports whether the information that the scheduler decided on is outdated: since then the machine has stopped
+// accepting new containers or has restarted, or further containers of the service were adopted.
 func (a *attempt) isStale() bool {
 	return !a.machine.isServing() || a.machine.startedAt != a.machineStart ||
 		a.env.adoptions.Since(a.container.request.Service, a.adoptionsBefore)
 }
 
-// connEstablished sends the offer, unless the attempt has ended. It ends the attempt as not sent if the attempt is
-// stale, so that the scheduler decides again with current information, or if less time is left than an offer can state.
-// A machine counts the time from when it receives the offer. The time left is therefore read from the clock: the start
-// of the iteration may be long past if the process was not run for a while. The deadline may even have passed, because
-// timers run later in an iteration than connections.
+// connEstablished sends the offer, unless the attempt has ended. A stale attempt ends as not sent, so that the
+// scheduler decides again with current information. An attempt that has less time left than an offer can state ends as
+// not sent too.
+//
+// A machine counts the time left from the receipt of the offer. The time left is therefore calculated from the clock:
+// the start of the iteration may be long past if the process was not run for a while. The deadline may even have
+// passed, because timers run later in an iteration than connections.
 func (a *attempt) connEstablished() {
 	if a.state == attemptFinished {
 		return
@@ -137,10 +139,10 @@
 	a.finish(ended)
 }
 
-// connClosed ends a pending attempt whose connection is closed. If the offer was never sent, the container has not run.
-// If it was sent, the container may have run.
-func (a *attempt) connClosed(notSent scheduler.Outcome, err error) {
-	outcome := notSent
+// connClosed ends a pending attempt whose connection is closed. If the offer was never sent, the container has not run,
+// and the attempt ends with unsentOutcome. If it was sent, the container may have run.
+func (a *attempt) connClosed(unsentOutcome scheduler.Outcome, err error) {
+	outcome := unsentOutcome
 	if a.isOffered() {
 		a.env.log.Debug("attempt lost: machine connection closed",
 			"request_id", a.id(), "machine", a.machine.id, "error", err)
@@ -171,9 +173,9 @@
 	}
 }
 
-// finishUnaccepted ends a container that its machine evicted, preempted or drained before the accept was read. Machines
-// do that to running containers only, so the accept is late or lost. The request fails, because a retry would continue
-// with a container that machine and platform count as ended.
+// finishUnaccepted ends a container that its machine evicted, preempted or drained before the accept was read. A
+// machine does so only with a running container, so the accept is late or lost. The request fails, because a retry
+// would continue with a container that machine and platform count as ended.
 func (a *attempt) finishUnaccepted(ended scheduler.AttemptEnded) {
 	ended.Final = true
 	a.finish(ended)
--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// adopt adds the container of a claim, unless a container with its key is running at the machine or the claim is not
-// admitted.
+// adopt adds the container of a claim if the claim is admitted. It ignores the claim if a container with the same
+// idempotency key is running at the machine.
 func (r *containerRegistry) adopt(claim runningClaim) {
 	m := r.machines.lookup(claim.machine)
 	if m != nil && m.runs(claim.request.IdempotencyKey) {
@@ -48,7 +48,7 @@
 		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: c.request, Machine: claim.machine})
 		if m.isListed() && m.isGone() {
 			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
-			// and its activity would be attributed to the machine that is gone.
+			// and the activity of the successor would be attributed to the machine that is gone.
 			m.failRunning(r.env.loop.Now())
 			return
 		}
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -191,7 +191,7 @@
 	}
 	r.client.expectLive(0)
 	r.runOnLoop(func() {
-		running := r.server.machines.lookup("a").running
+		running := r.server.machines.lookup("a").runningLoad
 		testutil.Equal(t, running, adoption.Load{Cores: 91, Memory: 182, Containers: 91}, "running")
 	})
 	return r, func() { reported <- true }
--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -105,7 +105,7 @@
 	return &jsonlines.Message{Op: jsonlines.OpTested, RequestID: id, Cause: new(int(result))}
 }
 
-// placementOffer is a decoded request.
+// placementOffer is a decoded request for a container, or a decoded claim that one is running.
 type placementOffer struct {
 	request scheduler.PlacementRequest
 	// the machine at which the container is already running; empty for a container to be placed
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// decodeAmounts reads the resources that a container requests, and its deadline. A running container may omit them.
+// decodeAmounts reads the resources that a container requests, and its deadline. A claim may omit them.
 func decodeAmounts(offer *placementOffer, left string, extras map[string]string, now eventloop.Tick) error {
 	maxWait := float64(maxWaitMillis)
 	if offer.runsOn != "" {
--- a/internal/platform/clientregistry.go
+++ b/internal/platform/clientregistry.go
@@ -45,9 +45,9 @@
 	r.unreportedConns = append(r.unreportedConns, cc)
 }
 
-// reportOpened reports the connections opened in this iteration, after all input of the iteration. The connection
-// manager may close idle clients to make room for new connections, and it must not close a client whose request has
-// just been read.
+// reportOpened reports the connections opened in this iteration, after all input of the iteration is read. The
+// connection manager may close idle clients to make room for new connections, and it must not close a client whose
+// request has just been read.
 func (r *clientRegistry) reportOpened() {
 	for _, cc := range r.unreportedConns {
 		if r.conns[cc.id] == cc {
@@ -59,7 +59,7 @@
 
 func (r *clientRegistry) remove(cc *clientConn) { delete(r.conns, cc.id) }
 
-// closeConn closes a client connection that is unused, or whose place another connection needs.
+// closeConn closes a client connection that is unused or has to make room for another one.
 func (r *clientRegistry) closeConn(action connmanager.CloseClient) {
 	if cc := r.conns[action.Client]; cc != nil {
 		r.env.log.Debug("client connection closed", "client", cc.id, "reason", action.Reason)
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -42,7 +42,7 @@
 		return
 	}
 	partial := cc.lines.Buffered() > 0
-	if partial && cc.lines.Lines() > linesBefore { // otherwise BytesReceived implies it
+	if partial && cc.lines.Lines() > linesBefore { // without an incomplete line, BytesReceived implies it
 		cc.env.notifyConnManager(connmanager.MessageCompleted{Client: cc.id})
 	}
 	cc.env.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: partial})
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -29,7 +29,7 @@
 	return [...]string{"none", "opened", "close requested", "ended"}[e]
 }
 
-// A message that was read together with the one that ended the connection may request the close again.
+// One read may contain several messages. If one of them ends the connection, a later one may still request the close.
 var clientTransitions = statemachine.Table[clientState, clientEvent]{
 	clientAccepted:    {clientConnOpened: clientEstablished},
 	clientEstablished: {clientCloseRequested: clientClosing, clientConnEnded: clientClosed},
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -14,7 +14,7 @@
 	// a client that was sent nothing and has no open request is closed after this time
 	firstRequestTimeout   = 2 * Second
 	partialMessageTimeout = 2 * Second       // a client whose message stays incomplete for longer is closed
-	newClientGrace        = Second / 5       // the first request of a more recent client may still be in transit
+	newClientGrace        = Second / 5       // the first request of a newer client may still be in transit
 	clientStaleAfter      = 4 * Second       // owners close their own connections after this idle time
 	minReadPause          = 50 * Millisecond // after the first invalid message; doubles with each further one
 	maxReadPause          = Second           // upper limit of the doubling
--- a/internal/platform/connmanager/cancels.go
+++ b/internal/platform/connmanager/cancels.go
@@ -31,9 +31,9 @@
 // TCP retransmits written data in order until the peer has acknowledged it, even after a close. A message is lost only
 // if the connection fails before that.
 //
-// If the connection fails earlier, the cancel is resent. A machine that has already read it ignores the repeat, as it
-// no longer has the container. A repeat cannot end another copy, as it names the same one. The process settles a cancel
-// whose container is wanted at the machine again.
+// If the connection fails earlier, the cancel is resent. A machine that has already read it ignores the repeat, because
+// it no longer has the container. A repeat cannot end another container, because it names the same request. If the
+// container is wanted at the machine again, the process calls Discard.
 type Cancels struct {
 	pending []*pendingCancel // oldest first, at most maxCancels
 }
@@ -44,22 +44,23 @@
 	tries     int
 	triedAt   Time
 	nextTryAt Time
-	conn      MachineConnID // carries it, or will once established; 0: it has to be tried
+	conn      MachineConnID // carries the cancel, or will once established; 0: the cancel has to be tried
 }
 
 // Add adds a cancel, which is due immediately. If there are maxCancels already, the oldest is dropped.
 func (c *Cancels) Add(now Time, cancel Cancel) {
-	c.Settle(cancel)
+	c.Discard(cancel)
 	excess := max(0, len(c.pending)+1-maxCancels)
 	c.pending = append(slices.Delete(c.pending, 0, excess), &pendingCancel{Cancel: cancel, nextTryAt: now})
 }
 
-// Holds reports whether a cancel is pending: not certain, settled or dropped.
-func (c *Cancels) Holds(cancel Cancel) bool {
+// IsPending reports whether a cancel was added and has not been removed since.
+func (c *Cancels) IsPending(cancel Cancel) bool {
 	return slices.ContainsFunc(c.pending, func(p *pendingCancel) bool { return p.Cancel == cancel })
 }
 
-// Due returns the cancels that have to be tried now. It drops those that are certain or have no tries left.
+// Due returns the cancels that have to be tried now. It removes those that are certain to have been read and those that
+// have no tries left.
 func (c *Cancels) Due(now Time) []Cancel {
 	c.remove(func(p *pendingCancel) bool { return p.isCertain(now) || p.isGivenUp(now) })
 	var due []Cancel
@@ -92,13 +93,15 @@
 	}
 }
 
-// ConnClosedLocally settles the cancels carried by a connection that this side has closed and that was not reset.
+// ConnClosedLocally removes the cancels carried by a connection that this side has closed and that was not reset. They
+// are certain to have been read.
 func (c *Cancels) ConnClosedLocally(conn MachineConnID) {
 	c.remove(func(p *pendingCancel) bool { return p.conn == conn })
 }
 
-// Settle removes a cancel, if it is pending, because its container is not at the machine or is wanted there.
-func (c *Cancels) Settle(cancel Cancel) {
+// Discard removes a cancel, if it is pending. The process calls it when the container has ended at the machine or is
+// wanted there again.
+func (c *Cancels) Discard(cancel Cancel) {
 	c.remove(func(p *pendingCancel) bool { return p.Cancel == cancel })
 }
 
--- a/internal/platform/connmanager/cancels_test.go
+++ b/internal/platform/connmanager/cancels_test.go
@@ -14,7 +14,7 @@
 func cancelTries(cancel Cancel, afterStep func(c *Cancels, now Time, conn MachineConnID)) (tries []Time) {
 	c := &Cancels{}
 	c.Add(0, cancel)
-	for now := Time(0); c.Holds(cancel); now += tenth {
+	for now := Time(0); c.IsPending(cancel); now += tenth {
 		if len(c.Due(now)) > 0 {
 			tries = append(tries, now/tenth)
 			c.RecordTry(now, cancel, MachineConnID(len(tries)))
@@ -36,10 +36,10 @@
 		{"in time", func(*Cancels) {}, cancelCertainAfter - tenth, 2},
 		{"late", func(*Cancels) {}, cancelCertainAfter, 1},
 		{"after it was closed here", func(c *Cancels) { c.ConnClosedLocally(1) }, tenth, 1},
-		{"after its machine has reported the end", func(c *Cancels) { c.Settle(x) }, tenth, 1},
+		{"after its machine has reported the end", func(c *Cancels) { c.Discard(x) }, tenth, 1},
 		{"after its machine has restarted", func(c *Cancels) { c.MachineGone("a") }, tenth, 1},
 		{"after events of other cancels and machines", func(c *Cancels) {
-			c.Settle(Cancel{"a", "y"})
+			c.Discard(Cancel{"a", "y"})
 			c.MachineGone("b")
 			c.ConnClosedLocally(2)
 		}, tenth, 2},
--- a/internal/platform/connmanager/client.go
+++ b/internal/platform/connmanager/client.go
@@ -9,7 +9,7 @@
 	evidence     ownershipEvidence
 	connectedAt  Time
 	lastActiveAt Time // when bytes were last read from or sent to it
-	partialSince Time // since when its last message is incomplete; 0 if it is not
+	partialSince Time // when the incomplete message at the end of its input began; 0 if there is none
 	openRequests int  // placement requests without an answer
 	readPause    Time // duration of the latest pause after an invalid message
 }
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -51,7 +51,7 @@
 	ContainerTerminated struct {
 		RequestID string
 		Cause     int
-		Client    ClientID // that requested it; 0 if it has disconnected
+		Client    ClientID // the client that requested the container; 0 if that client has disconnected
 	}
 
 	// TerminationAcknowledged reports that a client acknowledged a NotifyTermination.
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -187,7 +187,7 @@
 				5*Second - 1, 5 * Second, 60 * Second,
 			} {
 				conn := MachineConn{
-					Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0,
+					Primary: flags&1 != 0, MachineRunsContainers: flags&2 != 0, CarriesRunningContainer: flags&4 != 0,
 					IdleFor: idle, MachineIdleTimeout: closes,
 				}
 				d.Value(conn.ShouldKeep())
--- a/internal/platform/connmanager/notifications.go
+++ b/internal/platform/connmanager/notifications.go
@@ -7,17 +7,17 @@
 	notificationRetryInterval = Second / 4  // without an acknowledgement, another client is notified after this time
 	notificationTTL           = 10 * Second // without an acknowledgement, a termination is dropped after this time
 	fallbackDelay             = Second / 2  // after this time, clients that are not owners are notified too
-	fallbackDelayWithOwner    = Second      // the same while an owner is connected
+	fallbackDelayWithOwner    = Second      // fallbackDelay while an owner is connected
 )
 
 // termination is the end of a container that no client has acknowledged yet.
 type termination struct {
-	requestID        string
-	cause            int
-	endedAt          Time
-	notifiedClient   ClientID // the latest to be notified; 0 if none was
-	notifiedAt       Time
-	attemptedClients []ClientID // all that were notified
+	requestID          string
+	cause              int
+	endedAt            Time
+	lastNotifiedClient ClientID // the client that was notified last; 0 if none was
+	lastNotifiedAt     Time
+	notifiedClients    []ClientID // all clients that were notified
 }
 
 // containerTerminated notifies the client that requested the container or, if that has disconnected, the likeliest
@@ -36,7 +36,7 @@
 // if the client was notified of this termination, since any client can acknowledge one that it was not notified of.
 func (m *Manager) terminationAcknowledged(e TerminationAcknowledged) {
 	notified := func(t *termination) bool {
-		return t.requestID == e.RequestID && slices.Contains(t.attemptedClients, e.Client)
+		return t.requestID == e.RequestID && slices.Contains(t.notifiedClients, e.Client)
 	}
 	if c := m.clients[e.Client]; c != nil && slices.ContainsFunc(m.terminations, notified) {
 		c.addEvidence(evidenceAcknowledged)
@@ -52,7 +52,7 @@
 		func(t *termination) bool { return now-t.endedAt > notificationTTL },
 	)
 	for _, t := range m.terminations {
-		if t.notifiedClient == 0 || now-t.notifiedAt >= notificationRetryInterval {
+		if t.lastNotifiedClient == 0 || now-t.lastNotifiedAt >= notificationRetryInterval {
 			m.notify(now, t)
 		}
 	}
@@ -61,7 +61,7 @@
 // renotify notifies other clients of the terminations whose latest notification went to a client that has disconnected.
 func (m *Manager) renotify(now Time, disconnected ClientID) {
 	for _, t := range m.terminations {
-		if t.notifiedClient == disconnected {
+		if t.lastNotifiedClient == disconnected {
 			m.notify(now, t)
 		}
 	}
@@ -76,15 +76,15 @@
 }
 
 func (m *Manager) notifyClient(now Time, t *termination, c *client) {
-	t.notifiedClient = c.id
-	t.notifiedAt = now
-	t.attemptedClients = append(t.attemptedClients, c.id)
+	t.lastNotifiedClient = c.id
+	t.lastNotifiedAt = now
+	t.notifiedClients = append(t.notifiedClients, c.id)
 	m.emit(NotifyTermination{RequestID: t.requestID, Cause: t.cause, Client: c.id})
 }
 
 // nextRecipient returns the likeliest owner that was not notified of a termination yet, or nil. After a delay, any
-// client that was served or has an open request is eligible: while placements take seconds, it is possible that no new
-// connection of an owner has shown evidence of ownership yet.
+// client that was served or has an open request is eligible: while placements take seconds, an owner that has
+// reconnected may not have shown evidence of ownership yet.
 func (m *Manager) nextRecipient(now Time, t *termination) *client {
 	clients := m.sortedClients()
 	delay := fallbackDelay
@@ -94,7 +94,7 @@
 	fallback := now-t.endedAt >= delay
 	var best *client
 	for _, c := range clients {
-		if c.isClosing() || slices.Contains(t.attemptedClients, c.id) {
+		if c.isClosing() || slices.Contains(t.notifiedClients, c.id) {
 			continue
 		}
 		eligible := c.isOwner() || fallback && (c.state == served || c.openRequests > 0)
--- a/internal/platform/connmanager/pool.go
+++ b/internal/platform/connmanager/pool.go
@@ -17,7 +17,7 @@
 	notEvictable = -1 + iota
 	evictIdleMachine
 	evictBusyMachine
-	evictCarriesRunning
+	evictCarriesRunningContainer
 )
 
 // MaxConnsPerMachine returns the maximum number of connections to each machine, for a given number of machines.
@@ -40,11 +40,11 @@
 
 // MachineConn describes an idle connection to a machine: no answer is expected on it.
 type MachineConn struct {
-	Primary            bool // the first connection to its machine
-	MachineHasRunning  bool // a container is running on the machine
-	CarriesRunning     bool // it carried the request of a running container, whose end is reported on it
-	IdleFor            Time
-	MachineIdleTimeout Time // the machine closes a connection after this idle time
+	Primary                 bool // the first connection to its machine
+	MachineRunsContainers   bool // a container is running on the machine
+	CarriesRunningContainer bool // it carried the request of a running container, whose end is reported on it
+	IdleFor                 Time
+	MachineIdleTimeout      Time // idle time after which the machine closes a connection
 }
 
 // ShouldKeep reports whether an idle connection stays open. A connection on which the end of a container may be
@@ -52,7 +52,7 @@
 // machine closes them: if an attempt crosses the machine's close, it is unknown whether the container ran.
 func (c MachineConn) ShouldKeep() bool {
 	switch {
-	case c.CarriesRunning || c.Primary && c.MachineHasRunning:
+	case c.CarriesRunningContainer || c.Primary && c.MachineRunsContainers:
 		return true
 	case c.Primary:
 		return c.IdleFor < c.MachineIdleTimeout/2
@@ -67,14 +67,14 @@
 	switch {
 	case c.IdleFor < minEvictionIdle:
 		return notEvictable
-	case c.CarriesRunning:
-		return evictCarriesRunning
-	case c.MachineHasRunning:
+	case c.CarriesRunningContainer:
+		return evictCarriesRunningContainer
+	case c.MachineRunsContainers:
 		return evictBusyMachine
 	}
 	return evictIdleMachine
 }
 
-// CanCarryAttempt reports whether an attempt may be sent on an idle connection, which the machine must not be about to
-// close.
+// CanCarryAttempt reports whether an attempt may be sent on an idle connection. It may not if the machine could be
+// about to close the connection.
 func (c MachineConn) CanCarryAttempt() bool { return c.IdleFor < c.MachineIdleTimeout/2 }
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -17,12 +17,12 @@
 }
 
 func onBusyMachine(c MachineConn) MachineConn {
-	c.MachineHasRunning = true
+	c.MachineRunsContainers = true
 	return c
 }
 
 func carryingRunning(c MachineConn) MachineConn {
-	c.CarriesRunning = true
+	c.CarriesRunningContainer = true
 	return c
 }
 
@@ -60,8 +60,8 @@
 	conns := []MachineConn{ // in order of eviction
 		{IdleFor: Second},
 		{Primary: true, IdleFor: Second},
-		{MachineHasRunning: true, IdleFor: Second},
-		{MachineHasRunning: true, CarriesRunning: true, IdleFor: Second},
+		{MachineRunsContainers: true, IdleFor: Second},
+		{MachineRunsContainers: true, CarriesRunningContainer: true, IdleFor: Second},
 	}
 	last := 0
 	for _, c := range conns {
--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	// errDuplicateRequest closes the connection, because an answer could not be matched to one of the two requests.
+	// errDuplicateRequest closes the connection, because the client could not tell which request an answer belongs to.
 	errDuplicateRequest = errors.New("two open requests with the same id on one connection")
 	errRequestOpen      = errors.New("a request with this id is open")
 )
@@ -22,7 +22,7 @@
 type containerRegistry struct {
 	env                *environment
 	machines           *machineRegistry
-	containers         map[scheduler.ContainerID]*container // each until it is answered and has no attempt
+	containers         map[scheduler.ContainerID]*container // by ID; each until it is answered and has no attempt
 	unansweredRequests int                                  // number of containers whose request is not answered
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in order, so that equal events have equal effects.
+// sortedKeys returns the keys of a map in order, so that effects do not depend on the iteration order of the map.
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K {
 	return slices.Sorted(maps.Keys(table))
 }
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -18,12 +18,12 @@
 	className      string
 	idempotencyKey string
 	description    []byte
-	client         *clientConn // nil once its connection has ended
+	client         *clientConn // connection on which the container was requested; nil once it has ended
 	answered       bool
 	attemptsMade   int
-	attempt        *attempt      // pending, or the attempt of the running container
-	lostOffers     []*machine    // machines that may run a copy, until another one accepts the container
-	pendingClaim   *runningClaim // of another client, that the container is running; until the request is closed
+	attempt        *attempt      // the pending attempt, or the attempt of the running container; nil: none
+	lostOffers     []*machine    // machines that may run a copy, because an offer was lost; cleared by an accept
+	pendingClaim   *runningClaim // claim of another client; decided once the request is closed
 }
 
 func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -62,16 +62,16 @@
 	}
 }
 
-// sendCancel sends a cancel once the connection is established, unless the container has an attempt or a claim there by
-// then.
+// sendCancel sends a cancel once the connection is established, unless the container has an attempt or a claim at the
+// machine by then.
 func (mc *machineConn) sendCancel(cancel connmanager.Cancel) {
 	mc.env.cancels.RecordTry(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
 	mc.whenEstablished(func() {
 		id := scheduler.ContainerID(cancel.RequestID)
 		if mc.machine.hasAttemptOrClaim(id) {
-			mc.env.cancels.Settle(cancel)
+			mc.env.cancels.Discard(cancel)
 		}
-		if mc.env.cancels.Holds(cancel) && !mc.send(cancelMessage(id)) {
+		if mc.env.cancels.IsPending(cancel) && !mc.send(cancelMessage(id)) {
 			mc.env.cancels.ConnFailed(mc.id)
 		}
 	})
@@ -83,10 +83,10 @@
 	return m.attempt(id) != nil || m.env.claims.WasRejected(string(id), string(m.id))
 }
 
-// finishCancels has the cancels that were sent on the ended connection sent again, unless this process closed the
-// connection and it was not reset.
-func (mc *machineConn) finishCancels(last machineConnState, err error) {
-	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
+// finishCancels handles the cancels that were sent on the connection, which has ended. If this process closed it and it
+// was not reset, the cancels are certain to have been read. Otherwise they are sent again.
+func (mc *machineConn) finishCancels(lastState machineConnState, err error) {
+	if lastState == machineClosing && !errors.Is(err, eventloop.ErrReset) {
 		mc.env.cancels.ConnClosedLocally(mc.id)
 	} else {
 		mc.env.cancels.ConnFailed(mc.id)
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -78,7 +78,7 @@
 	cancel := connmanager.Cancel{Machine: "a", RequestID: requestID}
 	testutil.WaitUntil(t, "the machine receives two cancels and no more is to be sent", func() bool {
 		held := true
-		r.runOnLoop(func() { held = r.server.env.cancels.Holds(cancel) })
+		r.runOnLoop(func() { held = r.server.env.cancels.IsPending(cancel) })
 		return cancels.Load() == 2 && !held
 	})
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -26,7 +26,7 @@
 	lines         jsonlines.LineSplitter
 	lastOffset    int64 // offset of the last event applied
 	lastReadAt    eventloop.Tick
-	interrupted   bool // the connection ended, and nothing was read since
+	interrupted   bool // the last connection has ended, and nothing was read since
 	receivedEvent bool // an event was received on this connection, so the next one has the next offset
 }
 
@@ -111,8 +111,8 @@
 }
 
 // handleLine handles an event, or the offset of the last event. After a reconnect the service may repeat events that
-// were applied already; they are ignored. No event may be missing after a repeated one, because the service has all
-// events that follow those that it sends.
+// were applied already; they are ignored. After a repeated event no event may be missing, because the service has all
+// events that follow an event that it sends.
 func (w *discoveryWatch) handleLine(line []byte) error {
 	log := w.env.log
 	if w.interrupted {
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -24,8 +24,8 @@
 // # State machines
 //
 // The tables give the state that follows an event. A pair marked "-" is illegal: it is logged as "illegal state
-// transition" with a *statemachine.TransitionError, and the event has no effect. Each machine changes its state in its
-// method transition only.
+// transition" with a *statemachine.TransitionError, and the event has no effect. Each state machine changes its state
+// only in its method transition.
 //
 // An attempt starts as connecting, or as running for a container that a client has reclaimed (attemptstate.go):
 //
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -25,7 +25,7 @@
 	adoptions    adoptions.Tracker
 
 	schedulerQueue       eventQueue[scheduler.Event, scheduler.Action]
-	connManagerQueue     eventQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
+	connManagerQueue     eventQueue[connmanager.Event, connmanager.Action]         // handled after schedulerQueue
 	failureDetectorQueue eventQueue[failuredetector.Event, failuredetector.Action] // handled last
 }
 
@@ -41,8 +41,8 @@
 }
 
 // notifyUnadoptedEnd has a client notified of the end of a container whose claim was not adopted. Machines end running
-// containers with two causes only. Any other cause answers an offer that was cancelled; it must not reach the client,
-// which already has an answer.
+// containers with two causes only. A message with any other cause answers an offer that was cancelled; the client
+// already has an answer and must not be notified.
 func (env *environment) notifyUnadoptedEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
 	if endsRunning && env.claims.WasRejected(string(id), string(at)) {
@@ -72,14 +72,14 @@
 	return env.encodeBuffer, err
 }
 
-// trace logs a message. It is called only where tracing is on.
+// trace logs a message. It is called only if tracing is on.
 func (env *environment) trace(direction, peer string, msg *jsonlines.Message) {
 	env.log.Info("message", "time", env.loop.Now(), "direction", direction, "peer", peer, "op", msg.Op,
 		"request_id", msg.RequestID, "fields", msg.Fields, "cause", msg.CauseOrNone())
 }
 
-// logIllegalTransition logs an event that is illegal in the state of a state machine, with an attribute that identifies
-// the machine.
+// logIllegalTransition logs an event that is illegal in the state of a state machine. The attribute key=id identifies
+// the state machine.
 func (env *environment) logIllegalTransition(err error, key string, id any) {
 	env.log.Error("illegal state transition", key, id, "error", err)
 }
@@ -95,7 +95,8 @@
 
 func (q *eventQueue[Event, Action]) pending() int { return len(q.events) }
 
-// run has the events handled and carries out the actions in their order. Events that these cause wait for the next run.
+// run passes the events to handle and carries out the returned actions in order. Events that the actions cause wait for
+// the next run.
 func (q *eventQueue[Event, Action]) run(now eventloop.Tick) {
 	events := q.events
 	if len(events) == 0 {
--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -35,7 +35,7 @@
 type monitoredMachine struct {
 	id             string
 	lastActivityAt Time
-	lastConnectAt  Time // when a connection was last tried; 0 if not since the last activity
+	lastConnectAt  Time // when a connection was last tried; 0: none was tried since the last activity
 }
 
 // New returns a detector that monitors no machine yet.
--- a/internal/platform/jsonlines/codec.go
+++ b/internal/platform/jsonlines/codec.go
@@ -53,7 +53,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// Append appends a message to dst as a line. The message must be valid. If it fails, it returns dst unchanged.
+// Append appends a message to dst as a line. The message must be valid. After an error, the result is dst unchanged.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	fields, err := encodeFields(m.Fields)
 	if err != nil {
--- a/internal/platform/machineconnmessages.go
+++ b/internal/platform/machineconnmessages.go
@@ -40,7 +40,7 @@
 // handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt
 // that is pending on this one.
 func (mc *machineConn) handleEnd(event containerEnded) {
-	mc.env.cancels.Settle(mc.machine.cancelFor(event.id))
+	mc.env.cancels.Discard(mc.machine.cancelFor(event.id))
 	a := mc.machine.attempt(event.id)
 	switch {
 	case a == nil: // after a restart of this process a client may still reclaim the container
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -51,8 +51,8 @@
 	return !p.isFull()
 }
 
-// firstToEvict returns the idle connection with the lowest eviction rank, and of several the least recently used one.
-// It returns nil if none may be evicted.
+// firstToEvict returns the idle connection with the lowest eviction rank. If several have that rank, it returns the one
+// that was used least recently. It returns nil if none may be evicted.
 func (p *machineConnPool) firstToEvict(now eventloop.Tick) *machineConn {
 	var first evictionCandidate
 	for m := range p.machines.sorted() {
@@ -68,7 +68,7 @@
 	lastUsedAt eventloop.Tick
 }
 
-// earlier returns the candidate that is evicted first, and c if both rank equally.
+// earlier returns the candidate that is evicted first. It returns c if neither precedes the other.
 func (c evictionCandidate) earlier(other evictionCandidate) evictionCandidate {
 	switch {
 	case other.conn == nil:
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -22,17 +22,17 @@
 
 // machineConn is one connection to a machine.
 type machineConn struct {
-	env           *environment
-	id            connmanager.MachineConnID
-	machine       *machine
-	conn          *eventloop.Conn
-	state         machineConnState
-	lines         jsonlines.LineSplitter
-	attempts      map[scheduler.ContainerID]*attempt // waiting for the connection, or pending on it
-	probes        map[string]*probe                  // by identifier, until their result
-	onEstablished []func()                           // called once the connection is established
-	running       int                                // number of running containers that were offered on it
-	lastUsedAt    eventloop.Tick
+	env               *environment
+	id                connmanager.MachineConnID
+	machine           *machine
+	conn              *eventloop.Conn
+	state             machineConnState
+	lines             jsonlines.LineSplitter
+	attempts          map[scheduler.ContainerID]*attempt // by ID; each waits for the connection or for an answer
+	probes            map[string]*probe                  // pending probes by identifier
+	onEstablished     []func()                           // called once the connection is established
+	runningContainers int                                // number of running containers that were offered on it
+	lastUsedAt        eventloop.Tick
 }
 
 // dialMachine opens a connection to a machine.
@@ -66,11 +66,11 @@
 // attemptAccepted counts a running container that was offered on the connection.
 func (mc *machineConn) attemptAccepted(id scheduler.ContainerID) {
 	delete(mc.attempts, id)
-	mc.running++
+	mc.runningContainers++
 }
 
-// containerEnded counts the end of such a container.
-func (mc *machineConn) containerEnded() { mc.running-- }
+// containerEnded counts the end of a running container that was offered on the connection.
+func (mc *machineConn) containerEnded() { mc.runningContainers-- }
 
 // whenEstablished calls do once the connection is established, and never if that fails.
 func (mc *machineConn) whenEstablished(do func()) {
@@ -142,29 +142,29 @@
 
 // Closed implements eventloop.Handler: it ends the attempts and probes on the connection.
 func (mc *machineConn) Closed(_ *eventloop.Conn, err error) {
-	last := mc.state
+	lastState := mc.state
 	if mc.transition(machineConnEnded) != nil {
 		return
 	}
 	mc.onEstablished = nil
 	mc.machine.conns.remove(mc)
-	notSent := scheduler.OutcomeConnectFailed
+	unsentOutcome := scheduler.OutcomeConnectFailed
 	if errors.Is(err, eventloop.ErrLocalResources) { // not the fault of the machine
-		notSent = scheduler.OutcomeNotSent
+		unsentOutcome = scheduler.OutcomeNotSent
 	}
-	switch last {
+	switch lastState {
 	case machineEstablished:
 		mc.machine.conns.recordLoss()
 	case machineConnecting, machineAbandoned:
 		mc.reportIfRefused(err)
 	default: // closed by this process
 	}
-	mc.finishCancels(last, err)
-	mc.finishAttempts(notSent, err)
-	if last == machineEstablished || last == machineClosing {
-		notSent = scheduler.OutcomeLost
+	mc.finishCancels(lastState, err)
+	mc.finishAttempts(unsentOutcome, err)
+	if lastState == machineEstablished || lastState == machineClosing {
+		unsentOutcome = scheduler.OutcomeLost
 	}
-	mc.finishProbes(notSent)
+	mc.finishProbes(unsentOutcome)
 	mc.machine.evictIfGone()
 }
 
@@ -176,9 +176,9 @@
 }
 
 // finishAttempts ends the attempts on the closed connection.
-func (mc *machineConn) finishAttempts(notSent scheduler.Outcome, err error) {
+func (mc *machineConn) finishAttempts(unsentOutcome scheduler.Outcome, err error) {
 	for _, id := range sortedKeys(mc.attempts) {
-		mc.attempts[id].connClosed(notSent, err)
+		mc.attempts[id].connClosed(unsentOutcome, err)
 	}
 }
 
@@ -189,14 +189,14 @@
 	}
 }
 
-// poolState is the state of the connection that decides whether it is kept, used or evicted.
+// poolState describes the connection for the decision whether to keep, use or evict it.
 func (mc *machineConn) poolState(now eventloop.Tick, primary bool) connmanager.MachineConn {
 	return connmanager.MachineConn{
-		Primary:            primary,
-		MachineHasRunning:  mc.machine.hasRunning(),
-		CarriesRunning:     mc.running > 0,
-		IdleFor:            connmanager.Time(now - mc.lastUsedAt),
-		MachineIdleTimeout: connmanager.Time(mc.env.config.MachineIdleTimeout),
+		Primary:                 primary,
+		MachineRunsContainers:   mc.machine.hasRunningContainers(),
+		CarriesRunningContainer: mc.runningContainers > 0,
+		IdleFor:                 connmanager.Time(now - mc.lastUsedAt),
+		MachineIdleTimeout:      connmanager.Time(mc.env.config.MachineIdleTimeout),
 	}
 }
 
--- a/internal/platform/machineconnset.go
+++ b/internal/platform/machineconnset.go
@@ -45,8 +45,8 @@
 	return s.connect()
 }
 
-// leastLoaded returns the usable connection that carries the fewest offers, nil if there is none. A connection is not
-// usable if its machine may be closing it as idle, or if it is still being established for another offer.
+// leastLoaded returns the usable connection that carries the fewest offers, or nil if there is none. A connection is
+// not usable if its machine may be closing it as idle, or if it is still being established for another offer.
 func leastLoaded(conns []*machineConn, now eventloop.Tick) *machineConn {
 	var best *machineConn
 	for _, mc := range conns {
@@ -95,15 +95,16 @@
 	}
 }
 
-// maintain closes idle connections before the machine does, except one while containers run there, because their ends
-// are reported on it. It replaces a broken connection, because the machine repeats lost reports on a new one.
+// maintain closes idle connections before the machine does. While containers run on the machine, it keeps one
+// connection open, on which the machine reports their ends. It replaces a broken connection, because the machine
+// repeats lost reports on a new one.
 func (s *machineConnSet) maintain(now eventloop.Tick) {
 	for i, mc := range s.active() {
 		if !mc.isBusy() && !mc.poolState(now, i == 0).ShouldKeep() {
 			mc.closeGracefully()
 		}
 	}
-	if !s.machine.hasRunning() || !s.machine.hasAddr() || s.machine.isGone() {
+	if !s.machine.hasRunningContainers() || !s.machine.hasAddr() || s.machine.isGone() {
 		s.needsReplacement = false
 	} else if s.needsReplacement || len(s.active()) == 0 && !s.pool.isFull() {
 		s.needsReplacement = s.connect() == nil
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -57,14 +57,14 @@
 	if m == nil || !m.isListed() {
 		unlisted := adoption.Machine{Capacity: r.largestCapacity}
 		if m != nil {
-			unlisted.Running = m.running
+			unlisted.Running = m.runningLoad
 		}
 		return unlisted
 	}
 	return adoption.Machine{
 		Listed:   true,
 		Capacity: r.env.config.capacity(m.entry.MachineType),
-		Running:  m.running,
+		Running:  m.runningLoad,
 	}
 }
 
@@ -145,7 +145,7 @@
 
 // maintainConns closes idle connections and replaces broken ones, machine by machine, and sends cancels that are due.
 func (r *machineRegistry) maintainConns(now eventloop.Tick) {
-	for m := range r.sorted() { // one may be evicted when another machine needs a connection
+	for m := range r.sorted() { // a machine may be evicted when another one needs a connection
 		m.conns.maintain(now)
 	}
 	r.sendDueCancels()
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -9,18 +9,19 @@
 
 // machine is a machine that the machine list has named, or at which a client claims that its container is running.
 type machine struct {
-	env       *environment
-	registry  *machineRegistry
-	id        scheduler.MachineID
-	addr      string
-	entry     scheduler.MachineEntry // of the last update; without an identifier if no list has named the machine
-	state     scheduler.MachineState
-	startedAt scheduler.Time // start of its incarnation
-	conns     *machineConnSet
-	attempts  map[scheduler.ContainerID]*attempt // pending, or running at the machine
-	running   adoption.Load                      // load of the containers that are running at the machine
-
-	lostWhileSilent []scheduler.ContainerID // until the machine shows activity, restarts or is gone
+	env         *environment
+	registry    *machineRegistry
+	id          scheduler.MachineID
+	addr        string
+	entry       scheduler.MachineEntry // of the last update; has no machine ID if no list has named the machine
+	state       scheduler.MachineState
+	startedAt   scheduler.Time // start of its incarnation
+	conns       *machineConnSet
+	attempts    map[scheduler.ContainerID]*attempt // pending, or running at the machine
+	runningLoad adoption.Load                      // load of the containers that are running at the machine
+
+	// containers declared lost because the machine was silent; kept until it shows activity, restarts or is gone
+	lostWhileSilent []scheduler.ContainerID
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -49,19 +50,19 @@
 	return false
 }
 
-func (m *machine) hasRunning() bool { return m.running.Containers > 0 }
+func (m *machine) hasRunningContainers() bool { return m.runningLoad.Containers > 0 }
 
 // containerStarted counts a container that is running at the machine.
-func (m *machine) containerStarted(c *container) { m.setRunning(m.running.Add(c.load())) }
+func (m *machine) containerStarted(c *container) { m.setRunning(m.runningLoad.Add(c.load())) }
 
-// containerEnded counts the end of such a container.
-func (m *machine) containerEnded(c *container) { m.setRunning(m.running.Sub(c.load())) }
+// containerEnded counts the end of a container that was running at the machine.
+func (m *machine) containerEnded(c *container) { m.setRunning(m.runningLoad.Sub(c.load())) }
 
 func (m *machine) setRunning(load adoption.Load) {
 	if load.Containers == 0 {
 		load = adoption.Load{} // discards rounding errors
 	}
-	m.running = load
+	m.runningLoad = load
 	m.env.notifyFailureDetector(failuredetector.RunningCountChanged{
 		Machine: string(m.id), Count: load.Containers,
 	})
@@ -69,7 +70,7 @@
 
 // recordActivity reports activity of the machine to the failure detector.
 func (m *machine) recordActivity() {
-	if m.hasRunning() {
+	if m.hasRunningContainers() {
 		m.env.notifyFailureDetector(failuredetector.ActivityObserved{Machine: string(m.id)})
 	}
 }
@@ -84,10 +85,11 @@
 	}
 }
 
-// declareLost ends the containers of the machine, which was silent for silentFor, or refuses connections if that is 0.
+// declareLost ends the containers of the machine, because it was silent for silentFor. A silentFor of 0 means that it
+// refuses connections.
 func (m *machine) declareLost(silentFor eventloop.Tick) {
 	m.env.log.Info("machine lost",
-		"machine", m.id, "running", m.running.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
+		"machine", m.id, "running", m.runningLoad.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
 	if silentFor > 0 {
 		for _, id := range sortedKeys(m.attempts) {
 			m.recordLostWhileSilent(m.attempts[id])
@@ -134,8 +136,8 @@
 // markUnlisted marks the machine as gone until the full snapshot that is being applied names it.
 func (m *machine) markUnlisted() { m.state = scheduler.MachineGone }
 
-// finishUpdate ends the containers of a machine that is gone, by its entry in an event or because a full snapshot does
-// not name it.
+// finishUpdate ends the containers of the machine if it is gone. It is gone if its entry in the event says so, or if
+// the full snapshot does not name it.
 func (m *machine) finishUpdate() {
 	if m.isGone() {
 		m.failRunning(m.env.loop.Now())
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -56,7 +56,7 @@
 
 func (f *settingsFlattener) addList(path string, list []any) error {
 	if len(list) > 0 {
-		if _, ofObjects := list[0].(map[string]any); ofObjects {
+		if _, isObject := list[0].(map[string]any); isObject {
 			return f.addObjects(path, list)
 		}
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -74,14 +74,14 @@
 	s.env.log.Info("shutdown started", "containers", s.containers.count())
 }
 
-// stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. It is therefore called only in an
-// iteration that has handled all its input, and nothing is read between it and the exit.
+// stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. stopIfDrained is therefore called
+// only in an iteration that has handled all its input, and no input is read between the call and the exit.
 func (s *shutdownSequence) stopIfDrained() {
 	if !s.inProgress() {
 		return
 	}
 	elapsed := s.elapsed(s.env.loop.Now())
-	if connmanager.ShouldKeepDraining(elapsed, s.containers.unansweredCount(), s.longestDeadline()) {
+	if connmanager.ShouldKeepDraining(elapsed, s.containers.unansweredCount(), s.longestPlacementTimeout()) {
 		s.resume()
 		return
 	}
@@ -102,7 +102,7 @@
 
 // forceAnswersIfDue ends the attempts of unanswered requests shortly before the platform kills the process.
 func (s *shutdownSequence) forceAnswersIfDue(now eventloop.Tick) {
-	if !s.inProgress() || !connmanager.ShouldForceAnswers(s.elapsed(now), s.longestDeadline()) {
+	if !s.inProgress() || !connmanager.ShouldForceAnswers(s.elapsed(now), s.longestPlacementTimeout()) {
 		return
 	}
 	if s.transition(killApproached) == nil {
@@ -115,8 +115,8 @@
 	return connmanager.Time(now - s.startedAt)
 }
 
-// longestDeadline is the longest time that a workload class allows a request to wait.
-func (s *shutdownSequence) longestDeadline() connmanager.Time {
+// longestPlacementTimeout is the longest time that a workload class allows a request to wait.
+func (s *shutdownSequence) longestPlacementTimeout() connmanager.Time {
 	var longest connmanager.Time
 	for _, class := range s.env.config.Scheduler.WorkloadClasses {
 		longest = max(longest, connmanager.Time(class.PlacementTimeout))
