--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -45,7 +45,7 @@
 		return diagnostics.err
 	}
 	if !valid {
-		return errNegative
+		return errNegativeResult
 	}
 	return nil
 }
--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -81,7 +81,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			run := func(flag string) string {
 				output, _, err := runCommand(strings.Fields(tc.command + " " + flag + " " + tc.value)...)
-				if err != nil && !errors.Is(err, errNegative) {
+				if err != nil && !errors.Is(err, errNegativeResult) {
 					t.Fatal(err)
 				}
 				return randomID.ReplaceAllString(output, "-RANDOM-$1")
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -28,8 +28,8 @@
 // exitError ends the program with its value as the exit code. main prints nothing for it.
 type exitError int
 
-// errNegative ends a command that ran with a negative result: it found an error, or a container was not placed.
-const errNegative exitError = 1
+// errNegativeResult ends a command that ran with a negative result: it found an error, or a container was not placed.
+const errNegativeResult exitError = 1
 
 // Error implements error.
 func (c exitError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -17,7 +17,7 @@
 
 const (
 	platformFileVariable = "ROUTER_CONFIG" // environment variable with the path of the platform's configuration file
-	heapShare            = 0.6             // of the process's memory limit, as limit of the Go runtime
+	heapShare            = 0.6             // memory limit of the Go runtime, as a fraction of the process's limit
 )
 
 // platformFlags are the flags of the platform command.
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -140,7 +140,7 @@
 		if _, err := fmt.Fprintln(errOut, damage); err != nil {
 			return err
 		}
-		return errNegative
+		return errNegativeResult
 	}
 	_, err = fmt.Fprintf(out, "%s: valid, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
 	return err
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -22,8 +22,8 @@
 // submission holds the requests of one call of the submit command.
 type submission struct {
 	address string
-	spec    protocol.ContainerSpec // of all containers; ID and, unless given, key are set for each
-	key     string
+	spec    protocol.ContainerSpec // without the ID and the key, which send sets for each container
+	key     string                 // idempotency key of all containers; empty: a new one for each
 	count   int
 	timeout time.Duration // from now to the deadline of the requests
 	wait    bool          // wait until the containers end
@@ -75,7 +75,7 @@
 	if err := s.send(c); err != nil {
 		return err
 	}
-	return s.receiveReplies(c, &replyPrinter{printer: &printer{w: out}, unanswered: s.count})
+	return s.receiveReplies(c, &replyPrinter{printer: &printer{w: out}, unansweredRequests: s.count})
 }
 
 func (s *submission) send(c *schedulerConn) error {
@@ -97,7 +97,7 @@
 
 // receiveReplies prints replies until all have arrived and, with --wait, terminations until all containers have ended.
 func (s *submission) receiveReplies(c *schedulerConn, p *replyPrinter) error {
-	for p.unanswered > 0 || s.wait && p.running > 0 {
+	for p.unansweredRequests > 0 || s.wait && p.runningContainers > 0 {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
 			return fmt.Errorf("connection to scheduler %s lost: %w", c.name, err)
@@ -115,7 +115,7 @@
 		}
 	}
 	if p.notPlaced {
-		return errNegative
+		return errNegativeResult
 	}
 	return nil
 }
@@ -123,21 +123,21 @@
 // replyPrinter prints the replies to a submission and counts the outstanding replies and terminations.
 type replyPrinter struct {
 	*printer
-	unanswered int  // requests without a reply
-	running    int  // containers that were placed and have not ended
-	notPlaced  bool // a request was not answered with VerdictPlaced
+	unansweredRequests int  // requests without a reply
+	runningContainers  int  // containers that were placed and have not ended
+	notPlaced          bool // a request was not answered with VerdictPlaced
 }
 
 func (p *replyPrinter) printTermination(f *protocol.Termination) {
-	p.running--
+	p.runningContainers--
 	p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
 }
 
 func (p *replyPrinter) printReply(f *protocol.PlacementReply) {
-	p.unanswered--
+	p.unansweredRequests--
 	p.printf("%s %s", f.ContainerID, verdictText(f.Verdict))
 	if f.Verdict == protocol.VerdictPlaced {
-		p.running++
+		p.runningContainers++
 		p.printf(" on %s", f.Machine)
 	} else {
 		p.notPlaced = true
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -32,16 +32,16 @@
 // ContainerChanged carries the new state of a container, to be stored and published.
 type ContainerChanged struct{ Container Container }
 
-// ContainerRemoved reports that a container that is no longer wanted has ended. Its record is deleted.
+// ContainerRemoved reports that a container that is no longer wanted has ended. The caller deletes its record.
 type ContainerRemoved struct {
 	Job   string
 	Index int
 }
 
-// OrphanRecorded carries a new orphan, to be stored before any request of the same call is sent.
+// OrphanRecorded carries a new orphan, to be stored before any request of the same call of Handle is sent.
 type OrphanRecorded struct{ Orphan Orphan }
 
-// OrphanResolved reports that no copy of an orphan runs any more. Its record is deleted.
+// OrphanResolved reports that an orphan no longer runs. The caller deletes its record.
 type OrphanResolved struct{ Orphan Orphan }
 
 // SetTimer requests a TimerFired after a delay. A later SetTimer does not replace an earlier one.
--- a/internal/controller/api/objects.go
+++ b/internal/controller/api/objects.go
@@ -17,7 +17,7 @@
 // objectPage is one page of a list.
 type objectPage struct {
 	Items   []any  `json:"items"`
-	Version int64  `json:"version"`         // a watch that resumes from it misses no change
+	Version int64  `json:"version"`         // a watch from this version misses no change
 	After   string `json:"after,omitempty"` // the after parameter for the next page; empty on the last page
 }
 
--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -5,7 +5,7 @@
 const (
 	// unobservedTimeout is the time after which idempotent work of a lost scheduler is started elsewhere.
 	unobservedTimeout = 10 * scheduler.Second
-	// lookupDelay is the minimum delay of a lookup after a reconnect. A random addition extends it up to threefold.
+	// lookupDelay is the minimum delay of a lookup after a reconnect. A random part makes it up to three times as long.
 	lookupDelay = 500 * scheduler.Millisecond
 )
 
@@ -20,7 +20,7 @@
 		delay := lookupDelay + l.random.jitter(2*lookupDelay) + r.lookupDelay
 		l.enterPending(r, eventSchedulerConnected, delay, statusSchedulerReconnected)
 		r.lookupDelay = 0
-	case r.state == replicaPending && r.until == 0:
+	case r.state == replicaPending && r.nextStepAt == 0:
 		l.enterPending(r, eventSchedulerConnected, l.random.jitter(4*restartDelay), r.lastStatus)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,7 +30,8 @@
 // Config is the configuration of one incarnation of the controller.
 type Config struct {
 	Seed uint64 // seed of the random numbers
-	// Idempotency keys and request ids are numbered above it, so that none of an earlier incarnation is reused.
+	// Idempotency keys and request ids get numbers above FirstSequence, so that those of earlier incarnations are not
+	// reused.
 	FirstSequence   uint64
 	SchedulerCount  int
 	WorkloadClasses []WorkloadClass
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -63,7 +63,7 @@
 const (
 	VerdictAccepted Verdict = iota // a machine runs the container
 	VerdictRejected                // the container does not run and may be requested again
-	VerdictFailed                  // no machine accepted in time; unless idempotent, the container may be running
+	VerdictFailed                  // no machine accepted in time; a container that is not idempotent may be running
 	VerdictRefused                 // the request was not admitted, or it is unknown whether the container runs
 )
 
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -2,7 +2,8 @@
 
 import "glenport/scheduler"
 
-// minFencingDelay is the minimum time for a scheduler to learn of an attempt that was sent to a machine.
+// minFencingDelay is the minimum fencing delay: the time that a scheduler needs to learn of an attempt that was sent to
+// a machine.
 const minFencingDelay = 3 * scheduler.Second
 
 // fence delays the next request for a replica that may be running, until its scheduler can tell whether the replica
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -21,22 +21,22 @@
 	outbox     *outbox
 }
 
-// enter moves a replica to a state whose next step is due after a delay, or that has no next step if the delay is
-// noTimer. It returns false if the state machine does not allow the transition.
+// enter changes the state of a replica. The next step of the new state is due after a delay; with noTimer there is no
+// next step. It returns false if the state machine does not allow the transition.
 func (l *lifecycle) enter(r *replica, event replicaEvent, to replicaState, delay scheduler.Time, status string) bool {
 	if err := r.transition(event, to); err != nil {
 		l.outbox.emit(TransitionRejected{err})
 		return false
 	}
-	r.since, r.lastStatus = l.clock.now(), status
-	r.until = l.timers.set(r, delay)
+	r.enteredStateAt, r.lastStatus = l.clock.now(), status
+	r.nextStepAt = l.timers.set(r, delay)
 	l.outbox.markChanged(r)
 	return true
 }
 
 // enterPending schedules, after a delay, the placement request of a replica, or its lookup if the replica is sticky.
 func (l *lifecycle) enterPending(r *replica, event replicaEvent, delay scheduler.Time, status string) {
-	r.machine, r.refused = "", false
+	r.machine, r.wasRefused = "", false
 	l.enter(r, event, replicaPending, delay, status)
 }
 
@@ -46,8 +46,8 @@
 	l.enter(r, event, replicaCompleted, noTimer, status)
 }
 
-// remove removes a replica that has ended while its job did not want it. If the job wants it again meanwhile, a new
-// replica is created in its place.
+// remove removes a replica that has ended and was no longer wanted. If its job wants a replica with this index again by
+// now, a new replica is created in its place.
 func (l *lifecycle) remove(r *replica, event replicaEvent) {
 	if err := r.transition(event, replicaRemoved); err != nil {
 		l.outbox.emit(TransitionRejected{err})
@@ -70,8 +70,8 @@
 	l.enterPending(r, eventCreated, l.random.jitter(restartDelay), statusNotRequested)
 }
 
-// renewIdempotencyKey separates the next container of a replica from earlier ones. The container of the old key has
-// certainly ended, or its work may run twice.
+// renewIdempotencyKey gives a replica a new idempotency key, which separates its next container from earlier ones. It
+// is called if the container under the old key has certainly ended, or if its work may run twice.
 func (l *lifecycle) renewIdempotencyKey(r *replica) {
 	r.idempotencyKey = fmt.Sprintf("%s/%d/%d", r.job.id, r.index, l.sequence.next())
 	r.keyUse = keyUnused
@@ -107,7 +107,7 @@
 		return
 	}
 	l.renewIdempotencyKey(r)
-	r.replacing = false
+	r.beingReplaced = false
 	switch {
 	case e.Outcome == scheduler.OutcomeFinished && r.job.spec.RunOnce:
 		l.complete(r, eventEnded, statusFinished)
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -53,7 +53,7 @@
 	now := scheduler.Time(upTo(1_000_000))
 	state := controller.ContainerState(upTo(5))
 	f := Facts{
-		Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), Explained: group != 2 && chance(0.9),
+		Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), HasExplanation: group != 2 && chance(0.9),
 		ListAge: scheduler.Time(upTo(60_000)) - 5_000, SlowStartWindow: scheduler.Time(upTo(30_000)),
 	}
 	f.SchedulersConnected = upTo(f.Schedulers)
--- a/internal/controller/pending/pending.go
+++ b/internal/controller/pending/pending.go
@@ -19,7 +19,7 @@
 // Zone is the state of a zone according to the machine list.
 type Zone struct {
 	Name               string
-	Machines, Draining int
+	Machines, Draining int // number of machines, and of those that are draining
 }
 
 // Facts holds the information from which the reasons for a container are derived.
@@ -28,7 +28,7 @@
 	Schedulers          int
 	SchedulersConnected int
 	SchedulerConnected  bool                  // whether the scheduler of the last request is connected
-	Explained           bool                  // a scheduler has provided Explanation and ListAge
+	HasExplanation      bool                  // a scheduler has provided Explanation and ListAge
 	Explanation         scheduler.Explanation // why the machines cannot run the container
 	ListAge             scheduler.Time        // age of that scheduler's machine list; negative: it has none
 	Zones               []Zone
@@ -45,7 +45,7 @@
 	e.explainSchedulers()
 	e.explainState()
 	switch {
-	case facts.Explained:
+	case facts.HasExplanation:
 		e.explainFleet()
 	case len(e.reasons) == 0:
 		e.add(CodeUnknown, nil, textUnknown)
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -21,7 +21,7 @@
 		Container: controller.Container{
 			State: controller.StatePending, Until: 7 * second, Attempts: 2, LastStatus: "pushed back",
 		},
-		Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, Explained: true,
+		Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, HasExplanation: true,
 		Explanation: x, SlowStartWindow: 3 * second,
 	}
 }
@@ -79,13 +79,13 @@
 			f.Container.State, f.Container.Until = controller.StateFencing, 11*second
 		}), "guard no_room", "for another 6.0 s"},
 		{"no scheduler connected", fullFleetFacts(func(f *Facts) {
-			f.SchedulersConnected, f.Explained, f.Container.Until, f.SchedulerConnected = 0, false, 0, false
+			f.SchedulersConnected, f.HasExplanation, f.Container.Until, f.SchedulerConnected = 0, false, 0, false
 		}), "no_placer", "None of the 2 placers"},
 		{"the only scheduler that can tell is not connected", fullFleetFacts(func(f *Facts) {
-			f.Container.Sticky, f.SchedulerConnected, f.Explained = true, false, false
+			f.Container.Sticky, f.SchedulerConnected, f.HasExplanation = true, false, false
 		}), "placer_away backing_off", ""},
 		{"being placed", fullFleetFacts(func(f *Facts) {
-			f.Container.State, f.Explained, f.Container.Since = controller.StatePlacing, false, 4*second
+			f.Container.State, f.HasExplanation, f.Container.Since = controller.StatePlacing, false, 4*second
 		}), "being_placed", "for 1.0 s"},
 		{"refused, machine silent", refusedFacts(mayRun.Error()), "unsure no_room backing_off", "may run on machine m"},
 		{"refused, recovering", refusedFacts(recovering.Error()), "unsure no_room backing_off", "does not know yet"},
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -105,7 +105,7 @@
 		l.remove(r, eventRefused)
 	default:
 		l.retryLater(r, eventRefused, e)
-		r.refused = true
+		r.wasRefused = true
 	}
 }
 
--- a/internal/controller/random.go
+++ b/internal/controller/random.go
@@ -3,7 +3,8 @@
 import "glenport/scheduler"
 
 const (
-	// backoffInitial is the backoff after the first request that was not accepted. Each further one doubles it.
+	// backoffInitial is the backoff after the first request that was not accepted. Each further such request doubles
+	// it.
 	backoffInitial      = scheduler.Second
 	backoffMax          = 16 * scheduler.Second
 	backoffMaxDoublings = 5
@@ -32,7 +33,7 @@
 	return scheduler.Time(s.float64() * float64(span))
 }
 
-// backoff returns the delay before the next request after a number of attempts, which is at least minimum. The delay is
+// backoff returns the delay before the next request after a number of attempts. The delay is at least minimum. It is
 // drawn between half and the whole of a span that doubles with each attempt, so that requests that were rejected
 // together are not repeated together.
 func (s *randomSource) backoff(attempts int, minimum scheduler.Time) scheduler.Time {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -19,9 +19,9 @@
 	revision int // revision of the spec in its last placement request
 	state    replicaState
 
-	terminating bool // its job does not want it
-	replacing   bool // cancelled in favor of a newer spec
-	refused     bool // it became pending after a VerdictRefused
+	terminating   bool // its job does not want it
+	beingReplaced bool // cancelled in favor of a newer spec
+	wasRefused    bool // it became pending after a VerdictRefused
 
 	idempotencyKey string
 	keyUse         keyUse
@@ -32,9 +32,9 @@
 	attempts       int    // number of placement requests since it last ran
 	starts         int
 
-	since      scheduler.Time // when it entered its state
-	until      scheduler.Time // when the next step is due; 0: no step is scheduled
-	lastStatus string         // last answer or outcome, for display
+	enteredStateAt scheduler.Time // when it entered its state
+	nextStepAt     scheduler.Time // when the next step is due; 0: no step is scheduled
+	lastStatus     string         // last answer or outcome, for display
 	// added to the delay of the next lookup, so that a restarted controller spreads its lookups
 	lookupDelay scheduler.Time
 }
@@ -53,11 +53,11 @@
 func newRestoredReplica(j *job, stored *Container) *replica {
 	return &replica{
 		job: j, index: stored.Index,
-		terminating: stored.Terminating, replacing: stored.Replacing, refused: stored.Refused,
+		terminating: stored.Terminating, beingReplaced: stored.Replacing, wasRefused: stored.Refused,
 		idempotencyKey: stored.IdempotencyKey, keyUse: storedKeyUse(stored), requestID: stored.RequestID,
 		scheduler: stored.Scheduler, machine: stored.Machine, submittedSpec: stored.SubmittedSpec,
 		attempts: stored.Attempts, starts: stored.Starts,
-		since: stored.Since, until: stored.Until, lastStatus: stored.LastStatus,
+		enteredStateAt: stored.Since, nextStepAt: stored.Until, lastStatus: stored.LastStatus,
 	}
 }
 
@@ -76,10 +76,10 @@
 	return Container{
 		Job: r.job.id, Index: r.index, State: r.state.containerState(), Terminating: r.terminating,
 		Machine: r.machine, Scheduler: r.scheduler, Sticky: r.sticky(),
-		Since: r.since, Until: r.until, Attempts: r.attempts, Starts: r.starts,
-		LastStatus: r.lastStatus, Refused: r.refused,
+		Since: r.enteredStateAt, Until: r.nextStepAt, Attempts: r.attempts, Starts: r.starts,
+		LastStatus: r.lastStatus, Refused: r.wasRefused,
 		IdempotencyKey: r.idempotencyKey, RequestID: r.requestID, Submitted: r.keyUse != keyUnused,
-		Replacing: r.replacing, SubmittedSpec: r.submittedSpec,
+		Replacing: r.beingReplaced, SubmittedSpec: r.submittedSpec,
 	}
 }
 
@@ -94,8 +94,8 @@
 	return r.state == replicaPlacing || r.state == replicaLookingUp || r.state == replicaCancelling
 }
 
-// expectsEnd reports whether the end of the replica's container is expected. While the replica is placed or looked up,
-// it is expected only if the replica is terminating, because its request was cancelled then.
+// expectsEnd reports whether the end of the replica's container is expected. While the replica is being placed or
+// looked up, an end is expected only if the replica is terminating, because its request was then cancelled.
 func (r *replica) expectsEnd() bool {
 	switch r.state {
 	case replicaPlacing, replicaLookingUp:
@@ -109,7 +109,7 @@
 
 // rollingOut reports whether the replica was cancelled for the newest spec, or has that spec and is being restarted.
 func (r *replica) rollingOut() bool {
-	if r.replacing {
+	if r.beingReplaced {
 		return true
 	}
 	restarting := r.starts > 0 && r.state != replicaRunning && r.state != replicaCompleted
--- a/internal/controller/replicastate.go
+++ b/internal/controller/replicastate.go
@@ -61,7 +61,7 @@
 	eventFailed                                 // no machine accepted in time
 	eventRefused                                // the request was not admitted, or it is unknown whether it runs
 	eventEnded                                  // its container has ended, or was lost with its machine
-	eventSchedulerConnected                     // its scheduler has reconnected, or any has if it waited for any
+	eventSchedulerConnected                     // its scheduler, or any scheduler if it waited for any, is connected
 	eventSchedulerLost                          // the connection to its scheduler was lost
 	eventScaledDown                             // its job no longer wants it
 )
@@ -130,7 +130,7 @@
 	eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
 }
 
-// transition changes the state of a replica, and is the only place that does. If the table does not allow the
+// transition changes the state of a replica. The state changes nowhere else. If the table does not allow the
 // transition, it returns a *statemachine.TransitionError and the state stays.
 func (r *replica) transition(event replicaEvent, to replicaState) error {
 	return transitions.Apply(r, &r.state, event, to)
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -80,7 +80,7 @@
 // rollOut replaces running containers by containers of the job's newest spec, one at a time.
 func (l *lifecycle) rollOut(j *job) {
 	if r := j.nextToReplace(); r != nil {
-		r.replacing = true
+		r.beingReplaced = true
 		l.outbox.markChanged(r)
 		l.cancelRequest(r)
 	}
--- a/internal/controller/server/explainer.go
+++ b/internal/controller/server/explainer.go
@@ -15,30 +15,30 @@
 // explainer asks schedulers why a job's containers find no machine. Calls for the same job share one reply while its
 // request is open and for explanationTTL after the reply.
 type explainer struct {
-	loop       *eventloop.Loop
-	jobs       *jobRegistry
-	schedulers schedulerPool
-	lastSeq    uint64
-	open       map[uint64]*explainRequest    // by sequence number; until the reply or explainTimeout
-	recent     map[string]*recentExplanation // by job, kept for explanationTTL
+	loop               *eventloop.Loop
+	jobs               *jobRegistry
+	schedulers         schedulerPool
+	lastSeq            uint64
+	openRequests       map[uint64]*explainRequest    // by sequence number; until the reply or explainTimeout
+	recentExplanations map[string]*recentExplanation // by job, kept for explanationTTL
 }
 
 // explainRequest is a request that a scheduler has not answered yet.
 type explainRequest struct {
-	job     string
-	waiting []func(*protocol.ExplainReply)
+	job       string
+	callbacks []func(*protocol.ExplainReply)
 }
 
 // recentExplanation is a reply that may be reused.
 type recentExplanation struct {
-	at    eventloop.Tick
-	reply *protocol.ExplainReply
+	receivedAt eventloop.Tick
+	reply      *protocol.ExplainReply
 }
 
 func newExplainer(loop *eventloop.Loop, jobs *jobRegistry, schedulers schedulerPool) *explainer {
 	return &explainer{
 		loop: loop, jobs: jobs, schedulers: schedulers,
-		open: map[uint64]*explainRequest{}, recent: map[string]*recentExplanation{},
+		openRequests: map[uint64]*explainRequest{}, recentExplanations: map[string]*recentExplanation{},
 	}
 }
 
@@ -50,13 +50,13 @@
 		done(nil)
 		return
 	}
-	if r := e.recent[c.Job]; r != nil && e.loop.Now()-r.at < explanationTTL {
+	if r := e.recentExplanations[c.Job]; r != nil && e.loop.Now()-r.receivedAt < explanationTTL {
 		done(r.reply)
 		return
 	}
-	for _, request := range e.open {
+	for _, request := range e.openRequests {
 		if request.job == c.Job {
-			request.waiting = append(request.waiting, done)
+			request.callbacks = append(request.callbacks, done)
 			return
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	e.lastSeq++
 	seq := e.lastSeq
-	e.open[seq] = &explainRequest{job: c.Job, waiting: []func(*protocol.ExplainReply){done}}
+	e.openRequests[seq] = &explainRequest{job: c.Job, callbacks: []func(*protocol.ExplainReply){done}}
 	e.loop.After(explainTimeout, func() { e.finish(seq, nil) })
 	conn.write(&protocol.ExplainRequest{Seq: seq, Spec: containerSpec(spec, explainSpecID, explainSpecID)})
 	return true
@@ -86,24 +86,24 @@
 
 // finish ends an open request with its reply, or with nil at the timeout.
 func (e *explainer) finish(seq uint64, reply *protocol.ExplainReply) {
-	request := e.open[seq]
+	request := e.openRequests[seq]
 	if request == nil {
 		return
 	}
-	delete(e.open, seq)
+	delete(e.openRequests, seq)
 	if reply != nil && reply.Known {
 		e.addRecent(request.job, reply)
 	}
-	for _, done := range request.waiting {
+	for _, done := range request.callbacks {
 		done(reply)
 	}
 }
 
 func (e *explainer) addRecent(job string, reply *protocol.ExplainReply) {
-	e.recent[job] = &recentExplanation{e.loop.Now(), reply}
+	e.recentExplanations[job] = &recentExplanation{e.loop.Now(), reply}
 	e.loop.After(explanationTTL, func() {
-		if r := e.recent[job]; r != nil && e.loop.Now()-r.at >= explanationTTL {
-			delete(e.recent, job)
+		if r := e.recentExplanations[job]; r != nil && e.loop.Now()-r.receivedAt >= explanationTTL {
+			delete(e.recentExplanations, job)
 		}
 	})
 }
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -23,19 +23,19 @@
 	s.explainer.explain(c, collect)
 	c.Index = 1
 	s.explainer.explain(c, collect)
-	testutil.Require(t, len(replies) == 0 && len(s.explainer.open) == 1,
-		"%d replies and %d open requests, want one request", len(replies), len(s.explainer.open))
+	testutil.Require(t, len(replies) == 0 && len(s.explainer.openRequests) == 1,
+		"%d replies and %d open requests, want one request", len(replies), len(s.explainer.openRequests))
 	reply := &protocol.ExplainReply{Seq: s.explainer.lastSeq, Known: true, Machines: 7}
 	s.explainer.finish(reply.Seq, reply)
 	s.explainer.finish(reply.Seq, nil) // the timeout, after the reply
 	s.explainer.explain(c, collect)
-	testutil.Require(t, len(replies) == 3 && len(s.explainer.open) == 0,
-		"%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
+	testutil.Require(t, len(replies) == 3 && len(s.explainer.openRequests) == 0,
+		"%d replies and %d open requests, want three replies", len(replies), len(s.explainer.openRequests))
 	for _, got := range replies {
 		testutil.Expect(t, got == reply, "got %+v, want the shared reply", got)
 	}
 	facts := s.pendingFacts(c, reply)
-	if !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
+	if !facts.HasExplanation || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
 		facts.SchedulersConnected != 1 || facts.SchedulerConnected {
 		t.Errorf("unexpected facts: %+v", facts)
 	}
@@ -51,8 +51,9 @@
 		}
 	})
 	s.explainer.finish(s.explainer.lastSeq, nil)
-	testutil.Expect(t, answers == 1 && len(s.explainer.recent) == 0,
-		"%d answers and %d recent replies, want one answer and no recent reply", answers, len(s.explainer.recent))
+	testutil.Expect(t, answers == 1 && len(s.explainer.recentExplanations) == 0,
+		"%d answers and %d recent replies, want one answer and no recent reply",
+		answers, len(s.explainer.recentExplanations))
 }
 
 func TestNoExplainRequestIsSentWithoutAPendingContainerJobAndScheduler(t *testing.T) {
@@ -75,8 +76,8 @@
 					t.Errorf("got %+v, want none", reply)
 				}
 			})
-			testutil.Expect(t, answers == 1 && len(s.explainer.open) == 0,
-				"%d answers, %d open requests", answers, len(s.explainer.open))
+			testutil.Expect(t, answers == 1 && len(s.explainer.openRequests) == 0,
+				"%d answers, %d open requests", answers, len(s.explainer.openRequests))
 		})
 	}
 }
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -13,7 +13,7 @@
 // iteration.
 type actionBatch struct {
 	changes    []wal.Change
-	durability durability          // that the changes need before the requests are sent
+	durability durability          // which the changes must reach before the requests are sent
 	requests   []controller.Action // to schedulers; sent once the changes are stored
 }
 
@@ -89,8 +89,8 @@
 	return OrphanRecord{s.schedulers[o.Scheduler].address, o.IdempotencyKey}
 }
 
-// idempotency returns the idempotency of a workload class, and AtMostOnce, the strictest, for a class that is not
-// configured.
+// idempotency returns the idempotency of a workload class. For a class that is not configured it returns the strictest,
+// AtMostOnce.
 func (s *Server) idempotency(workloadClass int) scheduler.Idempotency {
 	if classes := s.config.SchedulerConfig.Policy.WorkloadClasses; workloadClass >= 0 && workloadClass < len(classes) {
 		return classes[workloadClass].Idempotency
--- a/internal/controller/server/jobregistry.go
+++ b/internal/controller/server/jobregistry.go
@@ -26,12 +26,12 @@
 	publisher      *publisher
 	storage        storage
 	addEvent       func(controller.Event)
-	waitingChanges map[string][]*jobChange // by job with a change in progress: the changes that wait for it
+	waitingChanges map[string][]*jobChange // changes that wait, by job; a job with a change in progress has an entry
 }
 
 // start decides and stores a change. Once the change is on disk, it is published to clients and the controller acts on
-// it. While another change of the same job is in progress, the change waits, so that it is decided on the result of the
-// other.
+// it. While another change of the same job is in progress, the change waits, so that the decision is based on the
+// result of the other change.
 func (r *jobRegistry) start(change *jobChange) {
 	if waiting, busy := r.waitingChanges[change.job]; busy {
 		r.waitingChanges[change.job] = append(waiting, change)
@@ -63,8 +63,8 @@
 	})
 }
 
-// publish assigns a version to the new state of a job or its deletion, sets it in the record, and queues the
-// publication until the record is stored.
+// publish assigns a version to the new state of a job or to its deletion, sets the version in the record, and queues
+// the publication until the record is stored.
 func (r *jobRegistry) publish(id string, current *Job, record *JobRecord) *publication {
 	published := &publication{object: watchcache.Object{Kind: KindJobs, ID: id}}
 	object := &published.object
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if reply != nil && reply.Known {
-		facts.Explained, facts.ListAge = true, scheduler.Time(reply.ListAge)
+		facts.HasExplanation, facts.ListAge = true, scheduler.Time(reply.ListAge)
 		facts.Explanation = explanationOf(reply)
 	}
 	return facts
--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -22,7 +22,7 @@
 
 // ContainerRecord is the stored record of a container.
 type ContainerRecord struct {
-	Container        controller.Container `cbor:"Container"` // its Scheduler is the number when it was stored
+	Container        controller.Container `cbor:"Container"` // its field Scheduler is the number at the time of storing
 	SchedulerAddress string               `cbor:"Door"`      // identifies that scheduler; empty: none
 }
 
--- a/internal/controller/server/statestore.go
+++ b/internal/controller/server/statestore.go
@@ -22,15 +22,15 @@
 // stateStore stores the controller's state on disk. Requests to schedulers and answers to clients wait until the state
 // behind them is stored.
 type stateStore struct {
-	cache          *watchcache.Cache
-	loop           *eventloop.Loop
-	logger         *slog.Logger
-	dir            *vfs.Dir
-	log            *wal.Log
-	versionCeiling int64                 // stored on disk; no version above it is assigned
-	jobs           map[string]JobRecord  // records on disk, by job ID
-	unwritten      map[string]wal.Change // failed changes to retry, by recordID
-	retryScheduled bool
+	cache            *watchcache.Cache
+	loop             *eventloop.Loop
+	logger           *slog.Logger
+	dir              *vfs.Dir
+	log              *wal.Log
+	versionCeiling   int64                 // stored on disk; no version above it is assigned
+	jobs             map[string]JobRecord  // records on disk, by job ID
+	unwrittenChanges map[string]wal.Change // failed changes to retry, by recordID
+	retryScheduled   bool
 }
 
 // openStore opens the state folder, restores its records and raises the version ceiling, so that this process assigns
@@ -46,7 +46,7 @@
 	}})
 	st := &stateStore{
 		cache: s.Cache, loop: s.loop, logger: s.log, dir: dir, log: log,
-		jobs: map[string]JobRecord{}, unwritten: map[string]wal.Change{},
+		jobs: map[string]JobRecord{}, unwrittenChanges: map[string]wal.Change{},
 	}
 	if err != nil {
 		st.releaseDir()
@@ -102,7 +102,7 @@
 		d = durabilitySync
 	}
 	for _, c := range changes {
-		delete(st.unwritten, recordID(c))
+		delete(st.unwrittenChanges, recordID(c))
 	}
 	changes = append(st.takeUnwritten(), changes...)
 	if len(changes) == 0 && d == durabilityWrite {
@@ -124,14 +124,14 @@
 
 // takeUnwritten removes and returns the changes to retry, ordered by kind and key.
 func (st *stateStore) takeUnwritten() []wal.Change {
-	changes := make([]wal.Change, 0, len(st.unwritten))
-	for _, c := range st.unwritten {
+	changes := make([]wal.Change, 0, len(st.unwrittenChanges))
+	for _, c := range st.unwrittenChanges {
 		changes = append(changes, c)
 	}
 	slices.SortFunc(changes, func(a, b wal.Change) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key))
 	})
-	clear(st.unwritten)
+	clear(st.unwrittenChanges)
 	return changes
 }
 
@@ -139,8 +139,8 @@
 // them. Changes of jobs are not retried: a job change that could not be stored was not applied.
 func (st *stateStore) scheduleRetry(changes []wal.Change) {
 	for _, c := range changes {
-		if _, newer := st.unwritten[recordID(c)]; c.Kind != RecordJob && !newer {
-			st.unwritten[recordID(c)] = c
+		if _, newer := st.unwrittenChanges[recordID(c)]; c.Kind != RecordJob && !newer {
+			st.unwrittenChanges[recordID(c)] = c
 		}
 	}
 	if st.retryScheduled {
@@ -149,7 +149,7 @@
 	st.retryScheduled = true
 	st.loop.After(storeRetryDelay, func() {
 		st.retryScheduled = false
-		if len(st.unwritten) > 0 {
+		if len(st.unwrittenChanges) > 0 {
 			st.persist(nil, durabilityWrite, func(error) {}) // a failure schedules the next retry
 		}
 	})
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -12,7 +12,7 @@
 
 func TestFailedChangesAreRetriedUnlessSupersededOrOfAJob(t *testing.T) {
 	s := openServer(t)
-	st := &stateStore{loop: s.loop, unwritten: map[string]wal.Change{}}
+	st := &stateStore{loop: s.loop, unwrittenChanges: map[string]wal.Change{}}
 	change := func(kind, key, value string) wal.Change {
 		return wal.Change{Kind: kind, Key: key, Value: []byte(value)}
 	}
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -36,7 +36,7 @@
 		}
 		m.handle(JobDeleted{"j"})
 		m.advanceTime(20 * second)
-		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.current)
+		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.validTimers)
 		testutil.Require(t, left == 0 && m.copies["j/0"]+m.copies["j/1"] == 0,
 			"%d entries left in tables, %v running", left, m.copies)
 	})
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -12,38 +12,38 @@
 // timerQueue holds the time at which the next step of each replica is due, and the time of the wakeup requested from
 // the caller.
 type timerQueue struct {
-	clock    *clock
-	sequence *sequence
-	heap     timerHeap           // cancelled and replaced timers stay in it until they are due
-	current  map[*replica]uint64 // sequence number of the valid timer of a replica
-	wakeupAt scheduler.Time      // the time that the last SetTimer requested
+	clock       *clock
+	sequence    *sequence
+	heap        timerHeap           // cancelled and replaced timers stay in it until they are due
+	validTimers map[*replica]uint64 // sequence number of the valid timer of a replica
+	wakeupAt    scheduler.Time      // the time that the last SetTimer requested
 }
 
 func newTimerQueue(c *clock, s *sequence) *timerQueue {
-	return &timerQueue{clock: c, sequence: s, current: map[*replica]uint64{}}
+	return &timerQueue{clock: c, sequence: s, validTimers: map[*replica]uint64{}}
 }
 
-// set makes the next step of a replica due after a delay, at least one unit of time from now, and returns the time at
-// which it is due, or 0 for noTimer. It replaces an earlier timer of the replica.
+// set makes the next step of a replica due after a delay, but at least one unit of time from now. It replaces an
+// earlier timer of the replica. It returns the time at which the step is due, or 0 for noTimer.
 func (q *timerQueue) set(r *replica, delay scheduler.Time) scheduler.Time {
 	q.cancel(r)
 	if delay == noTimer {
 		return 0
 	}
 	t := timer{at: q.clock.now() + max(1, delay), sequence: q.sequence.next(), replica: r}
-	q.current[r] = t.sequence
+	q.validTimers[r] = t.sequence
 	heap.Push(&q.heap, t)
 	return t.at
 }
 
-func (q *timerQueue) cancel(r *replica) { delete(q.current, r) }
+func (q *timerQueue) cancel(r *replica) { delete(q.validTimers, r) }
 
 // nextDue returns the next replica whose step is due, or nil if there is none.
 func (q *timerQueue) nextDue() *replica {
 	for len(q.heap) > 0 && q.heap[0].at <= q.clock.now() {
 		t := q.heap[0]
 		heap.Pop(&q.heap)
-		if q.current[t.replica] == t.sequence {
+		if q.validTimers[t.replica] == t.sequence {
 			q.cancel(t.replica)
 			return t.replica
 		}
--- a/internal/controller/watchcache/history.go
+++ b/internal/controller/watchcache/history.go
@@ -7,19 +7,19 @@
 
 // history is a ring buffer of the most recent changes.
 type history struct {
-	changes   []*Object
-	next      int   // index of the next write
-	compacted int64 // changes up to this version have been discarded
+	changes          []*Object
+	nextIndex        int   // index of the next write
+	compactedVersion int64 // changes up to this version have been discarded
 }
 
 func (h *history) add(o *Object) {
 	if len(h.changes) < historyLength {
 		h.changes = append(h.changes, o)
 	} else {
-		h.compacted = h.changes[h.next].Version
-		h.changes[h.next] = o
+		h.compactedVersion = h.changes[h.nextIndex].Version
+		h.changes[h.nextIndex] = o
 	}
-	h.next = (h.next + 1) % historyLength
+	h.nextIndex = (h.nextIndex + 1) % historyLength
 }
 
 // at returns the ith change, counted from the oldest.
@@ -27,7 +27,7 @@
 	if len(h.changes) < historyLength {
 		return h.changes[i]
 	}
-	return h.changes[(h.next+i)%historyLength]
+	return h.changes[(h.nextIndex+i)%historyLength]
 }
 
 // since returns the changes after a version, oldest first.
--- a/internal/controller/watchcache/watchcache.go
+++ b/internal/controller/watchcache/watchcache.go
@@ -57,7 +57,7 @@
 func (c *Cache) StartAfter(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.version, c.lastReserved, c.history.compacted = version, version, version
+	c.version, c.lastReserved, c.history.compactedVersion = version, version, version
 }
 
 // ReserveVersion returns the next version, for a change that is applied later. Changes must be applied in the order of
@@ -111,7 +111,7 @@
 }
 
 func (c *Cache) applyLocked(o *Object) {
-	restored := o.Version <= c.history.compacted // of an earlier process: no watch can begin before it
+	restored := o.Version <= c.history.compactedVersion // of an earlier process: no watch can begin before it
 	c.version = max(c.version, o.Version)
 	o.watchEvent = c.encode(o)
 	c.storeLocked(o)
--- a/internal/controller/watchcache/watcher.go
+++ b/internal/controller/watchcache/watcher.go
@@ -20,7 +20,7 @@
 func (c *Cache) Watch(after int64, kinds ...string) (*Watcher, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if after > c.version || after < c.history.compacted {
+	if after > c.version || after < c.history.compactedVersion {
 		return nil, ErrCompacted
 	}
 	missed := c.history.since(after)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -131,7 +131,7 @@
 
 // Value hashes a value of a basic, slice, array, struct or map type. A bool is hashed as the number 1 or 0, a struct by
 // the position of its fields, a map in the order of its keys. Value panics on other kinds, such as pointers.
-func (d *Digest) Value(v any) { d.fold(reflect.ValueOf(v)) }
+func (d *Digest) Value(v any) { d.hashValue(reflect.ValueOf(v)) }
 
 // Bytes hashes bytes without their length.
 func (d *Digest) Bytes(p []byte) { d.sum.Write(p) }
@@ -148,13 +148,13 @@
 // Line returns a recorded form of the digest: a name, the number of records and the hash.
 func (d *Digest) Line(name string) string { return fmt.Sprintf("%s: %d %s", name, d.records, d.Sum()) }
 
-// Summary returns another recorded form: the number of records, a noun for them, and the hash.
-func (d *Digest) Summary(records string) string {
-	return fmt.Sprintf("%d %s, sha256 %s", d.records, records, d.Sum())
+// Summary returns another recorded form: the number of records, the given noun for them, and the hash.
+func (d *Digest) Summary(noun string) string {
+	return fmt.Sprintf("%d %s, sha256 %s", d.records, noun, d.Sum())
 }
 
-// fold hashes a value by its kind.
-func (d *Digest) fold(v reflect.Value) {
+// hashValue hashes a value by its kind.
+func (d *Digest) hashValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
@@ -173,20 +173,20 @@
 	case reflect.Slice, reflect.Array:
 		d.Numbers(uint64(v.Len()))
 		for i := range v.Len() {
-			d.fold(v.Index(i))
+			d.hashValue(v.Index(i))
 		}
 	case reflect.Struct:
 		for _, field := range v.Fields() {
-			d.fold(field)
+			d.hashValue(field)
 		}
 	case reflect.Map:
-		d.foldMap(v)
+		d.hashMap(v)
 	default:
 		panic(fmt.Sprintf("golden: values of kind %s cannot be hashed", v.Kind()))
 	}
 }
 
-func (d *Digest) foldMap(v reflect.Value) {
+func (d *Digest) hashMap(v reflect.Value) {
 	keys := v.MapKeys()
 	sort.Slice(keys, func(i, j int) bool { return keys[i].String() < keys[j].String() })
 	d.Numbers(uint64(len(keys)))
@@ -195,6 +195,6 @@
 			panic("golden: only maps with string keys can be hashed")
 		}
 		d.Text(k.String())
-		d.fold(v.MapIndex(k))
+		d.hashValue(v.MapIndex(k))
 	}
 }
--- a/internal/statemachine/statemachinetest/comment.go
+++ b/internal/statemachine/statemachinetest/comment.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	bar         = "|"
-	stateColumn = "state" // header of the first column
-	eventColumn = "event" // header of the second column, if there is a row for each state and event
-	noState     = "-"     // in place of the next state if the event is illegal
+	columnSeparator = "|"
+	stateColumn     = "state" // header of the first column
+	eventColumn     = "event" // header of the second column, if there is a row for each state and event
+	noState         = "-"     // in place of the next state if the event is illegal
 )
 
 // CommentTable is a state table in a package comment. It has either a row for each state and event, with the next state
@@ -52,7 +52,7 @@
 }
 
 func isTableOfStates(block []string) bool {
-	return len(block) > 0 && (strings.HasPrefix(block[0], bar) || cells(block[0])[0] == stateColumn)
+	return len(block) > 0 && (strings.HasPrefix(block[0], columnSeparator) || cells(block[0])[0] == stateColumn)
 }
 
 func newCommentTable(paragraph string, block []string) CommentTable {
@@ -69,11 +69,11 @@
 var columnGap = regexp.MustCompile(` {2,}`)
 
 func cells(row string) []string {
-	inner, hasBars := strings.CutPrefix(row, bar)
+	inner, hasBars := strings.CutPrefix(row, columnSeparator)
 	if !hasBars {
 		return columnGap.Split(row, -1)
 	}
-	all := strings.Split(strings.TrimSuffix(strings.TrimSpace(inner), bar), bar)
+	all := strings.Split(strings.TrimSuffix(strings.TrimSpace(inner), columnSeparator), columnSeparator)
 	for i := range all {
 		all[i] = strings.TrimSpace(all[i])
 	}
