--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -76,7 +76,7 @@
 	return outcomeTest{outcome: scheduler.OutcomeLost, reason: reason, final: true, causes: []int{41}}
 }
 
-// accepted is the same result for a container that was accepted before.
+// accepted returns the same result for a container that was accepted before the answers.
 func (want outcomeTest) accepted() outcomeTest {
 	want.causes = append([]int{causeOfAccept}, want.causes...)
 	return want
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -56,7 +56,7 @@
 			owner.expectLive(2)
 			close(end)
 			ended := owner.receive()
-			for ended != nil && ended.RequestID != requestID { // those of disconnected clients
+			for ended != nil && ended.RequestID != requestID { // ends for disconnected clients
 				ended = owner.receive()
 			}
 			testutil.Expect(t, isMessage(ended, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
@@ -78,7 +78,7 @@
 		})
 	})
 	r.runOnLoop(func() {
-		r.scheduler.script = nil // the real one decides
+		r.scheduler.script = nil // the scheduler that it wraps decides
 		r.server.env.claims = adoption.New(limit)
 	})
 	return r
@@ -171,8 +171,8 @@
 	client *peer
 }
 
-// startWithClaimsAtA starts a server whose machine a reports, when report is called, the ends of requestID, which
-// nobody has claimed, and of otherRequestID.
+// startWithClaimsAtA starts a server with claims at machine a. When report is called, the machine reports the ends of
+// requestID, which nobody has claimed, and of otherRequestID.
 func startWithClaimsAtA(t *testing.T) (r serverWithClaims, report func()) {
 	t.Helper()
 	reported := make(chan bool)
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -37,7 +37,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := startWithDiscovery(t, silentDiscovery(t))
 			client := r.dialClient()
-			go client.send(tc.line) // it may never be read to its end
+			go client.send(tc.line) // the server may close the connection before it has read the whole line
 			if tc.closed {
 				client.expectClosed()
 			} else {
@@ -77,8 +77,8 @@
 	}
 }
 
-// An identifier that is in use is not accepted for a second request. If that comes from another client, it is rejected.
-// If it comes on the same connection, the connection is closed, which ends both requests.
+// An identifier that is in use is not accepted for a second request. If the second request comes from another client,
+// it is rejected. If it comes on the same connection, the connection is closed, which ends both requests.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) { m.receive(); m.receive() })
 	r := startWithMachineA(t, addr, attemptOnA(0))
@@ -223,8 +223,9 @@
 	})
 }
 
-// The connection manager closes idle clients to make room for new ones. It is therefore notified of the requests read
-// in an iteration before the connections opened in it. A connection that has ended by then is not reported.
+// The connection manager closes idle clients to make room for new ones. It is therefore notified of the requests
+// that were read in an iteration before it is notified of the connections that were opened in the same iteration. A
+// connection that has ended by then is not reported.
 func TestClientsAreReportedAfterRequests(t *testing.T) {
 	r := startWithMachineA(t, closedAddr, func(scheduler.Event) []scheduler.Action { return nil })
 	r.dialClient()
@@ -256,7 +257,7 @@
 		})
 		want := []connmanager.Event{connmanager.PlacementRequested{Client: 1}, connmanager.ClientConnected{Client: 3}}
 		testutil.Expect(t, slices.Equal(got, want), "reported %+v, want %+v", got, want)
-		delete(r.server.clients.conns, 3) // it has no connection that could be closed
+		delete(r.server.clients.conns, 3) // client 3 has no connection that could be closed
 	})
 }
 
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -21,7 +21,8 @@
 // answeredRequest returns the events of a client whose only request was answered.
 func answeredRequest(id ClientID) []Event { return []Event{PlacementRequested{id}, MessageSent{id, 1}} }
 
-// exceptFor returns a function that gives the client one its own events, and every other client those of others.
+// exceptFor returns a function that returns the events own for the client one, and the result of others for each other
+// client.
 func exceptFor(one ClientID, own []Event, others func(ClientID) []Event) func(ClientID) []Event {
 	return func(id ClientID) []Event {
 		if id == one {
@@ -32,7 +33,7 @@
 }
 
 // A full listener closes one client for each new connection. It closes no client with an open request while there is
-// one without.
+// a client without an open request.
 func TestFullListenerClosesTheClientThatLosesLeast(t *testing.T) {
 	const limit = 8
 	served := func(id ClientID) []Event { return []Event{MessageSent{Client: id}} }
@@ -50,7 +51,7 @@
 	for _, tc := range []struct {
 		name   string
 		at     Time                      // when the next client connects
-		events func(id ClientID) []Event // of each client connected before
+		events func(id ClientID) []Event // the events of each client that connected before
 		want   ClientID
 	}{
 		{"all unserved, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -21,7 +21,7 @@
 	return c
 }
 
-func carryingRunning(c MachineConn) MachineConn {
+func carryingRunningContainer(c MachineConn) MachineConn {
 	c.CarriesRunningContainer = true
 	return c
 }
@@ -36,7 +36,7 @@
 		{"the first, used recently", asPrimary(idleConn(14 * Second)), true},
 		{"the first, idle", asPrimary(idleConn(15 * Second)), false},
 		{"another, used recently", onBusyMachine(idleConn(4 * Second)), true},
-		{"another, carries a running container", carryingRunning(onBusyMachine(idleConn(60 * Second))), true},
+		{"another, carries a running container", carryingRunningContainer(onBusyMachine(idleConn(60 * Second))), true},
 		{"another, idle", onBusyMachine(idleConn(5 * Second)), false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -77,9 +77,9 @@
 	client.expect(jsonlines.OpAccept, requestID)
 	cancel := connmanager.Cancel{Machine: "a", RequestID: requestID}
 	testutil.WaitUntil(t, "the machine receives two cancels and no more is to be sent", func() bool {
-		held := true
-		r.runOnLoop(func() { held = r.server.env.cancels.IsPending(cancel) })
-		return cancels.Load() == 2 && !held
+		pending := true
+		r.runOnLoop(func() { pending = r.server.env.cancels.IsPending(cancel) })
+		return cancels.Load() == 2 && !pending
 	})
 }
 
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -117,7 +117,7 @@
 // With more machines than descriptors, the number of connections stays within its limit, each offer is sent, and each
 // end is read, even if the connection was evicted.
 func TestMachineConnLimitHolds(t *testing.T) {
-	// clients have as many connections, and 32 descriptors are for the watch, bursts and the program itself
+	// 16 connections are for clients, and 32 descriptors are for the watch, bursts and the program itself
 	const machines, descriptors, limit = 40, 64, 16
 	r := startWithNumberedMachines(t, descriptors, machines, lateReportingMachine)
 	client := r.dialClient()
