--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -37,12 +37,12 @@
 		for _, j := range m.stored.jobs {
 			wanted += j.Count
 		}
-		for _, keys := range m.running {
+		for _, keys := range m.runningRequests {
 			running += len(keys)
 		}
 		// Without the record of orphans a second copy of idempotent work would run forever.
 		testutil.Require(t, running == wanted && len(m.stored.orphans) == 0,
-			"%d containers run, %d are wanted; running %v, stored %+v", running, wanted, m.running, m.stored)
+			"%d containers run, %d are wanted; running %v, stored %+v", running, wanted, m.runningRequests, m.stored)
 	})
 }
 
@@ -50,15 +50,15 @@
 type crashModel struct {
 	t *rapid.T
 	testClock
-	idempotency scheduler.Idempotency
-	controller  *Controller
-	sequence    uint64   // the current incarnation numbers keys and requests above it
-	actions     []Action // not performed yet; lost when the controller is killed
-	connected   [2]bool
-	running     [2]map[string]string // request id by key, for each scheduler
-	started     map[string]bool      // keys under which a container ran
-	faultsOver  bool
-	stored      storedState
+	idempotency     scheduler.Idempotency
+	controller      *Controller
+	sequence        uint64   // the current incarnation numbers keys and requests above it
+	actions         []Action // not performed yet; lost when the controller is killed
+	connected       [2]bool
+	runningRequests [2]map[string]string // request id by key, for each scheduler
+	startedKeys     map[string]bool      // keys under which a container ran
+	faultsOver      bool
+	stored          storedState
 }
 
 var crashModelJobs = []string{"a", "b"}
@@ -67,7 +67,7 @@
 	idempotency := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).
 		Draw(t, "idempotency")
 	return &crashModel{
-		t: t, idempotency: idempotency, running: [2]map[string]string{{}, {}}, started: map[string]bool{},
+		t: t, idempotency: idempotency, runningRequests: [2]map[string]string{{}, {}}, startedKeys: map[string]bool{},
 		stored: newStoredState(),
 	}
 }
@@ -139,7 +139,7 @@
 }
 
 func (m *crashModel) lookup(a LookupRequest) {
-	keys := m.running[a.Scheduler]
+	keys := m.runningRequests[a.Scheduler]
 	if _, runs := keys[a.IdempotencyKey]; runs {
 		keys[a.IdempotencyKey] = a.RequestID // the end is reported under the id of the latest request
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
@@ -152,11 +152,11 @@
 
 func (m *crashModel) submit(a SubmitRequest) {
 	atMostOnce := m.idempotency == scheduler.AtMostOnce
-	testutil.Require(m.t, !m.started[a.IdempotencyKey] || !atMostOnce,
+	testutil.Require(m.t, !m.startedKeys[a.IdempotencyKey] || !atMostOnce,
 		"a container ran under key %s, which is requested again", a.IdempotencyKey)
-	keys := m.running[a.Scheduler]
+	keys := m.runningRequests[a.Scheduler]
 	_, runs := keys[a.IdempotencyKey]
-	start := func() { keys[a.IdempotencyKey], m.started[a.IdempotencyKey] = a.RequestID, true }
+	start := func() { keys[a.IdempotencyKey], m.startedKeys[a.IdempotencyKey] = a.RequestID, true }
 	switch {
 	case runs:
 		keys[a.IdempotencyKey] = a.RequestID
@@ -176,8 +176,8 @@
 }
 
 func (m *crashModel) cancel(a CancelRequest) {
-	if _, runs := m.running[a.Scheduler][a.IdempotencyKey]; runs {
-		delete(m.running[a.Scheduler], a.IdempotencyKey)
+	if _, runs := m.runningRequests[a.Scheduler][a.IdempotencyKey]; runs {
+		delete(m.runningRequests[a.Scheduler], a.IdempotencyKey)
 		m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
 	} else if m.fault(3, "outcome unknown") {
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
@@ -191,10 +191,10 @@
 		return
 	}
 	seen := map[string]bool{}
-	for _, keys := range m.running {
+	for _, keys := range m.runningRequests {
 		for key := range keys {
 			container := containerOf(key)
-			testutil.Require(m.t, !seen[container], "%s has two copies: %v", container, m.running)
+			testutil.Require(m.t, !seen[container], "%s has two copies: %v", container, m.runningRequests)
 			seen[container] = true
 		}
 	}
@@ -218,7 +218,7 @@
 		n := rapid.IntRange(0, 1).Draw(m.t, "scheduler")
 		m.connect(n, !m.connected[n])
 	case 5:
-		for n, keys := range m.running {
+		for n, keys := range m.runningRequests {
 			sorted := slices.Sorted(maps.Keys(keys))
 			if m.connected[n] && len(sorted) > 0 {
 				requestID := keys[sorted[0]]
--- a/internal/controller/pending/codes.go
+++ b/internal/controller/pending/codes.go
@@ -20,7 +20,7 @@
 	// Machines have as many containers of the service as the spread limit allows.
 	CodeSpreadExhausted    Code = "spread_full"
 	CodeSlowStartExhausted Code = "cold_budget"   // machines in slow start have used up their slow-start budget
-	CodeMachinesEjected    Code = "machines_sick" // machines are ejected, self-draining, or suspected of failing this work
+	CodeMachinesEjected    Code = "machines_sick" // machines are ejected, self-draining, or suspected for this work
 	CodeLoadShedding       Code = "low_gain"      // requests of this priority are shed
 	CodeBackingOff         Code = "backing_off"   // the next request is scheduled
 	CodeMachineListStale   Code = "list_away"     // the machine list has not been updated for too long
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -34,9 +34,9 @@
 	return [...]string{"waiting", "asking", "running", "guarded", "unwatched", "done"}[s]
 }
 
-// Container is the stored record of a replica, and the form in which the API shows it. Its times are those given to
-// Handle. Its booleans are part of the stored format. Decisions use the typed state and the fields of replica, to and
-// from which record and newRestoredReplica convert.
+// Container is the stored record of a replica, and the form in which the API shows it. Its times are on the clock that
+// Handle is given. Its booleans are part of the stored format. Decisions use the typed state and the fields of replica
+// instead; record and newRestoredReplica convert between the two types.
 type Container struct {
 	Job         string         `cbor:"Job"`
 	Index       int            `cbor:"Index"`
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -64,8 +64,8 @@
 	l.outbox.emit(CancelRequest{r.scheduler, r.requestID, r.idempotencyKey})
 }
 
-// cancelKey cancels a replica that may be running, with a new request to the only scheduler that can tell. While that
-// scheduler is not connected the replica is kept, because a replacement could become a second copy.
+// cancelKey cancels a replica that may be running, with a new request to the only scheduler that can tell whether it
+// runs. While that scheduler is not connected the replica is kept, because a replacement could become a second copy.
 func (l *lifecycle) cancelKey(r *replica, event replicaEvent) {
 	if !l.schedulers.isConnected(r.scheduler) {
 		l.enter(r, event, replicaUnobserved, noTimer, r.lastStatus)
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -54,21 +54,21 @@
 type singleCopyModel struct {
 	t *rapid.T
 	testClock
-	controller   *Controller
-	copies       map[string]int    // number of copies by container, named job/index
-	running      map[string]string // request id by key
-	runsAt       map[string]int    // scheduler by key
-	requests     []modelRequest
-	lookups      map[string]bool // request ids of lookups
-	incarnations [2]int
-	connected    [2]bool
+	controller      *Controller
+	copies          map[string]int    // number of copies by container, named job/index
+	runningRequests map[string]string // request id by key
+	schedulerByKey  map[string]int    // index of the scheduler at which it runs, by key
+	requests        []modelRequest
+	lookups         map[string]bool // request ids of lookups
+	incarnations    [2]int
+	connected       [2]bool
 }
 
 func newSingleCopyModel(t *rapid.T) *singleCopyModel {
 	idempotency := scheduler.Idempotency(rapid.IntRange(1, 2).Draw(t, "idempotency"))
 	return &singleCopyModel{
-		t: t, controller: New(testConfig(idempotency)), copies: map[string]int{}, running: map[string]string{},
-		runsAt: map[string]int{}, lookups: map[string]bool{},
+		t: t, controller: New(testConfig(idempotency)), copies: map[string]int{}, runningRequests: map[string]string{},
+		schedulerByKey: map[string]int{}, lookups: map[string]bool{},
 	}
 }
 
@@ -104,13 +104,13 @@
 func (m *singleCopyModel) start(r SubmitRequest) {
 	container := containerOf(r.IdempotencyKey)
 	m.copies[container]++
-	m.running[r.IdempotencyKey], m.runsAt[r.IdempotencyKey] = r.RequestID, r.Scheduler
+	m.runningRequests[r.IdempotencyKey], m.schedulerByKey[r.IdempotencyKey] = r.RequestID, r.Scheduler
 	testutil.Require(m.t, m.copies[container] <= 1, "%s has two copies at %d", container, m.now)
 }
 
 func (m *singleCopyModel) stop(key string) {
 	m.copies[containerOf(key)]--
-	delete(m.running, key)
+	delete(m.runningRequests, key)
 }
 
 // cancel answers a cancel as a scheduler does: with the end of the running container, with the end of the open request,
@@ -119,7 +119,7 @@
 	if !m.connected[a.Scheduler] {
 		return
 	}
-	if _, runs := m.running[a.IdempotencyKey]; runs && m.runsAt[a.IdempotencyKey] == a.Scheduler {
+	if _, runs := m.runningRequests[a.IdempotencyKey]; runs && m.schedulerByKey[a.IdempotencyKey] == a.Scheduler {
 		m.cancelRunning(a)
 		return
 	}
@@ -175,7 +175,7 @@
 func (m *singleCopyModel) answerOldest(way int) {
 	r := m.requests[0]
 	m.requests = m.requests[1:]
-	_, runs := m.running[r.IdempotencyKey]
+	_, runs := m.runningRequests[r.IdempotencyKey]
 	lookup := m.lookups[r.RequestID]
 	switch {
 	case !m.connected[r.Scheduler] || m.incarnations[r.Scheduler] != r.incarnation:
@@ -183,10 +183,11 @@
 		if !runs && way == answerAcceptLate && m.now-r.sentAt < testPlacementTimeout && !lookup {
 			m.start(r.SubmitRequest)
 		}
-	case runs && m.runsAt[r.IdempotencyKey] != r.Scheduler:
-		m.t.Fatalf("%s is requested at %d and runs at %d", r.IdempotencyKey, r.Scheduler, m.runsAt[r.IdempotencyKey])
+	case runs && m.schedulerByKey[r.IdempotencyKey] != r.Scheduler:
+		m.t.Fatalf("%s is requested at %d and runs at %d",
+			r.IdempotencyKey, r.Scheduler, m.schedulerByKey[r.IdempotencyKey])
 	case runs:
-		m.running[r.IdempotencyKey] = r.RequestID
+		m.runningRequests[r.IdempotencyKey] = r.RequestID
 		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 	case lookup:
 		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: m.lookupVerdict(r)})
@@ -247,8 +248,8 @@
 
 // drain evicts a container because its machine drains, if its scheduler is connected and can report that.
 func (m *singleCopyModel) drain(container string) {
-	for key, requestID := range m.running {
-		if containerOf(key) == container && m.connected[m.runsAt[key]] {
+	for key, requestID := range m.runningRequests {
+		if containerOf(key) == container && m.connected[m.schedulerByKey[key]] {
 			m.stop(key)
 			m.handle(ContainerEnded{requestID, scheduler.OutcomeLost, scheduler.ReasonDrained})
 			return
--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -29,19 +29,19 @@
 
 // Decision is the decision on a claim.
 type Decision struct {
-	Adopt     bool
-	Displaced []string // containers whose claims the new claim displaces; they no longer count as running
+	Adopt        bool
+	DisplacedIDs []string // containers whose claims the new claim displaces; they no longer count as running
 }
 
 // Claims holds the adopted claims that no machine has confirmed, each until its container ends. It also holds the
 // filter of the rejected and displaced claims.
 type Claims struct {
-	limit      int
-	claims     map[string]*adoptedClaim            // by container
-	byMachine  map[string]map[string]*adoptedClaim // by machine and container
-	byClient   map[ClientID]map[string]*adoptedClaim
-	lastNumber uint64
-	rejected   filter // rejected and displaced claims
+	limit          int
+	claims         map[string]*adoptedClaim            // by container
+	byMachine      map[string]map[string]*adoptedClaim // by machine and container
+	byClient       map[ClientID]map[string]*adoptedClaim
+	lastNumber     uint64
+	rejectedClaims filter // rejected and displaced claims
 }
 
 // adoptedClaim is a claim that was adopted.
@@ -66,14 +66,14 @@
 func (c *Claims) Decide(claim Claim, machine Machine) Decision {
 	displaced, fits := c.makeRoom(claim, machine)
 	if !fits {
-		c.rejected.add(claim.ID, claim.Machine)
+		c.rejectedClaims.add(claim.ID, claim.Machine)
 		return Decision{}
 	}
 	decision := Decision{Adopt: true}
 	for _, victim := range displaced {
 		c.Remove(victim.ID)
-		c.rejected.add(victim.ID, victim.Machine)
-		decision.Displaced = append(decision.Displaced, victim.ID)
+		c.rejectedClaims.add(victim.ID, victim.Machine)
+		decision.DisplacedIDs = append(decision.DisplacedIDs, victim.ID)
 	}
 	c.add(claim, machine.Listed)
 	return decision
@@ -81,7 +81,7 @@
 
 // WasRejected reports whether a claim was rejected or displaced. In rare cases it reports true for a claim that was
 // neither.
-func (c *Claims) WasRejected(id, machine string) bool { return c.rejected.contains(id, machine) }
+func (c *Claims) WasRejected(id, machine string) bool { return c.rejectedClaims.contains(id, machine) }
 
 // Remove removes the claim to a container, if there is one. It is called when the container has ended, or when its
 // machine has confirmed that it is running.
--- a/internal/platform/adoption/adoption_test.go
+++ b/internal/platform/adoption/adoption_test.go
@@ -66,7 +66,7 @@
 	decideMany(c, 1, 0, 1)
 	d := c.Decide(newClaim(2, 1000, "a", 1), machineWith(11))
 	testutil.Expect(t, d.Adopt, "the claim of another client is rejected")
-	testutil.SlicesEqual(t, d.Displaced, []string{"10"})
+	testutil.SlicesEqual(t, d.DisplacedIDs, []string{"10"})
 	testutil.Expect(t, c.WasRejected("10", "a") && !c.WasRejected("9", "a"),
 		"the displaced claim is not known as displaced")
 	decideMany(c, 2, 1001, 1)
@@ -96,7 +96,7 @@
 	d := c.Decide(newClaim(1, 200, "a", 1), machineWith(1))
 	testutil.Expect(t, !d.Adopt, "the second of the same client is adopted")
 	d = c.Decide(newClaim(2, 201, "a", 1), machineWith(1))
-	testutil.SlicesEqual(t, d.Displaced, []string{"4"})
+	testutil.SlicesEqual(t, d.DisplacedIDs, []string{"4"})
 	testutil.Equal(t, MaxClaims(64), 3276, "claims with 64 MB")
 }
 
--- a/internal/platform/adoption/displace.go
+++ b/internal/platform/adoption/displace.go
@@ -4,10 +4,10 @@
 
 // displacement selects the adopted claims that a new claim displaces.
 type displacement struct {
-	claims  *Claims
-	client  ClientID // the client of the new claim
-	victims []*adoptedClaim
-	counts  map[ClientID]int // number of victims by client
+	claims       *Claims
+	client       ClientID // the client of the new claim
+	victims      []*adoptedClaim
+	victimCounts map[ClientID]int // number of victims by client
 }
 
 // makeRoom reports whether a new claim fits. If so, it returns the claims that have to be displaced.
@@ -15,7 +15,7 @@
 	if !machine.Capacity.canHold(claim.Load) {
 		return nil, false
 	}
-	d := &displacement{claims: c, client: claim.Client, counts: map[ClientID]int{}}
+	d := &displacement{claims: c, client: claim.Client, victimCounts: map[ClientID]int{}}
 	running := machine.Running
 	for !machine.Capacity.hasRoom(running) {
 		victim := d.chooseVictim(c.byMachine[claim.Machine])
@@ -65,7 +65,7 @@
 	}
 	if victim != nil {
 		d.victims = append(d.victims, victim)
-		d.counts[victim.Client]++
+		d.victimCounts[victim.Client]++
 	}
 	return victim
 }
@@ -90,5 +90,5 @@
 
 // claimsLeft returns the number of claims of a connection that are not victims.
 func (d *displacement) claimsLeft(client ClientID) int {
-	return len(d.claims.byClient[client]) - d.counts[client]
+	return len(d.claims.byClient[client]) - d.victimCounts[client]
 }
--- a/internal/platform/adoption/golden_test.go
+++ b/internal/platform/adoption/golden_test.go
@@ -26,9 +26,9 @@
 		d := golden.NewDigest()
 		for i := range 30 {
 			s := &sequence{
-				random:  rand.New(rand.NewPCG(group.seed, uint64(i))),
-				claims:  New(group.limit),
-				running: make([]Load, group.machines),
+				random:       rand.New(rand.NewPCG(group.seed, uint64(i))),
+				claims:       New(group.limit),
+				adoptedLoads: make([]Load, group.machines),
 			}
 			for range 500 {
 				s.step(d, group.size)
@@ -41,10 +41,10 @@
 
 // sequence is a sequence of random events for one set of claims.
 type sequence struct {
-	random  *rand.Rand
-	claims  *Claims
-	running []Load // adopted load of each machine
-	number  int
+	random       *rand.Rand
+	claims       *Claims
+	adoptedLoads []Load // adopted load of each machine
+	number       int
 }
 
 func (s *sequence) step(d *golden.Digest, size int) {
@@ -60,19 +60,19 @@
 }
 
 func (s *sequence) decide(d *golden.Digest, size int) {
-	i := s.random.IntN(len(s.running))
+	i := s.random.IntN(len(s.adoptedLoads))
 	tenths := Load{float64(s.random.IntN(size)) / 10, float64(s.random.IntN(size)) / 10, 1}
 	claim := Claim{ClientID(1 + s.random.IntN(5)), strconv.Itoa(s.number), strconv.Itoa(i), tenths}
 	machine := machineWith(0)
-	machine.Running, machine.Listed = s.running[i], i%3 > 0
+	machine.Running, machine.Listed = s.adoptedLoads[i], i%3 > 0
 	before := maps.Clone(s.claims.claims)
 	decision := s.claims.Decide(claim, machine)
-	d.Add(0, decision.Adopt, strings.Join(decision.Displaced, ","))
-	for _, id := range decision.Displaced {
+	d.Add(0, decision.Adopt, strings.Join(decision.DisplacedIDs, ","))
+	for _, id := range decision.DisplacedIDs {
 		s.containerEnded(before[id].Claim)
 	}
 	if decision.Adopt {
-		s.running[i] = s.running[i].Add(tenths)
+		s.adoptedLoads[i] = s.adoptedLoads[i].Add(tenths)
 	}
 }
 
@@ -85,5 +85,5 @@
 
 func (s *sequence) containerEnded(claim Claim) {
 	i, _ := strconv.Atoi(claim.Machine) // decide names machines by their index
-	s.running[i] = s.running[i].Sub(claim.Load)
+	s.adoptedLoads[i] = s.adoptedLoads[i].Sub(claim.Load)
 }
--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -67,7 +67,7 @@
 		claim.Client = adoption.ClientID(c.client.id)
 	}
 	decision := r.env.claims.Decide(claim, r.machines.claimTarget(at))
-	for _, id := range decision.Displaced {
+	for _, id := range decision.DisplacedIDs {
 		r.containers[scheduler.ContainerID(id)].displace()
 	}
 	return decision.Adopt
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -26,7 +26,7 @@
 }
 
 func (m *Manager) clientConnected(now Time, e ClientConnected) {
-	m.clients[e.Client] = &client{id: e.Client, state: unserved, connectedAt: now, lastActiveAt: now}
+	m.clients[e.Client] = &client{id: e.Client, state: clientUnserved, connectedAt: now, lastActiveAt: now}
 	m.activeClients++
 	if m.activeClients > m.maxClients {
 		m.evictClient(now)
@@ -140,7 +140,7 @@
 // isUnused reports whether a client without an open request has exceeded firstRequestTimeout without being served and
 // without sufficient evidence of ownership.
 func (c *client) isUnused(now Time, sufficient ownershipEvidence) bool {
-	return c.state == unserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
+	return c.state == clientUnserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
 }
 
 func (m *Manager) closeClient(c *client, reason CloseReason) {
@@ -173,7 +173,7 @@
 		return evictActiveOwner
 	case now-c.connectedAt < newClientGrace:
 		return evictNew
-	case c.state == served:
+	case c.state == clientServed:
 		return evictServed
 	}
 	return evictUnserved
--- a/internal/platform/connmanager/client.go
+++ b/internal/platform/connmanager/client.go
@@ -18,10 +18,10 @@
 type clientState uint8
 
 const (
-	unserved     clientState = iota + 1 // no message was sent to it yet
-	served                              // a message was sent to it
-	closing                             // the process was told to close it (CloseClient)
-	disconnected                        // its connection has ended
+	clientUnserved     clientState = iota + 1 // no message was sent to it yet
+	clientServed                              // a message was sent to it
+	clientClosing                             // the process was told to close it (CloseClient)
+	clientDisconnected                        // its connection has ended
 )
 
 func (s clientState) String() string {
@@ -42,9 +42,9 @@
 }
 
 var clientTransitions = statemachine.Table[clientState, clientEvent]{
-	unserved: {messageSent: served, connectionEnded: disconnected, closeDecided: closing},
-	served:   {messageSent: served, connectionEnded: disconnected, closeDecided: closing},
-	closing:  {messageSent: closing, connectionEnded: disconnected},
+	clientUnserved: {messageSent: clientServed, connectionEnded: clientDisconnected, closeDecided: clientClosing},
+	clientServed:   {messageSent: clientServed, connectionEnded: clientDisconnected, closeDecided: clientClosing},
+	clientClosing:  {messageSent: clientClosing, connectionEnded: clientDisconnected},
 }
 
 // transition applies an event to the state of a client and reports whether it was legal. The state changes nowhere
@@ -57,7 +57,7 @@
 	return err == nil
 }
 
-func (c *client) isClosing() bool { return c.state == closing }
+func (c *client) isClosing() bool { return c.state == clientClosing }
 
 // ownershipEvidence is the strength of the evidence that a client owns containers.
 type ownershipEvidence uint8
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -15,7 +15,7 @@
 
 func TestPageShowsEachTransition(t *testing.T) {
 	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.PageMachine{
-		"Client": statemachinetest.NewPageMachine(clientTransitions, unserved),
+		"Client": statemachinetest.NewPageMachine(clientTransitions, clientUnserved),
 	})
 }
 
@@ -30,6 +30,7 @@
 	report, ok := m.actions[0].(ReportError)
 	testutil.Expect(t, ok && report.Client == 1 && len(m.actions) <= 1, "actions %+v", m.actions)
 	illegal, ok := errors.AsType[*statemachine.TransitionError](report.Err)
-	testutil.Expect(t, ok && illegal.From == closing.String(), "reported %v", report.Err)
-	testutil.Expect(t, c.state == closing && m.activeClients == 0, "client %v, %d active", c.state, m.activeClients)
+	testutil.Expect(t, ok && illegal.From == clientClosing.String(), "reported %v", report.Err)
+	testutil.Expect(t, c.state == clientClosing && m.activeClients == 0,
+		"client %v, %d active", c.state, m.activeClients)
 }
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -48,41 +48,41 @@
 // sequence is a sequence of random events for one manager. It tracks connected clients and terminations, so that most
 // events are consistent with the earlier ones; a few are not.
 type sequence struct {
-	random     *rand.Rand
-	now        Time
-	grid       Time // time advances in multiples of it; 0: by arbitrary amounts
-	lastID     uint64
-	connected  []uint64
-	terminated []string
-	count      int
+	random           *rand.Rand
+	now              Time
+	grid             Time // time advances in multiples of it; 0: by arbitrary amounts
+	lastID           uint64
+	connectedClients []uint64
+	terminatedIDs    []string
+	count            int
 }
 
 // client returns a client that is connected, in most cases.
 func (s *sequence) client() ClientID {
-	if len(s.connected) == 0 || s.random.IntN(25) == 0 {
+	if len(s.connectedClients) == 0 || s.random.IntN(25) == 0 {
 		return ClientID(s.random.Uint64N(s.lastID + 3)) // 0, a disconnected client, or one that never connected
 	}
-	return ClientID(s.connected[s.random.IntN(len(s.connected))])
+	return ClientID(s.connectedClients[s.random.IntN(len(s.connectedClients))])
 }
 
 func (s *sequence) terminatedID() string {
-	if len(s.terminated) == 0 || s.random.IntN(8) == 0 {
+	if len(s.terminatedIDs) == 0 || s.random.IntN(8) == 0 {
 		return "never-told"
 	}
-	return s.terminated[s.random.IntN(len(s.terminated))]
+	return s.terminatedIDs[s.random.IntN(len(s.terminatedIDs))]
 }
 
 func (s *sequence) connect() Event {
 	s.lastID++
-	s.connected = append(s.connected, s.lastID)
+	s.connectedClients = append(s.connectedClients, s.lastID)
 	return ClientConnected{Client: ClientID(s.lastID)}
 }
 
 func (s *sequence) disconnect() Event {
 	id := s.client()
-	for i, c := range s.connected {
+	for i, c := range s.connectedClients {
 		if ClientID(c) == id {
-			s.connected = append(s.connected[:i], s.connected[i+1:]...)
+			s.connectedClients = append(s.connectedClients[:i], s.connectedClients[i+1:]...)
 			break
 		}
 	}
@@ -92,7 +92,7 @@
 func (s *sequence) terminate() Event {
 	s.count++
 	id := fmt.Sprintf("%016x", s.count)
-	s.terminated = append(s.terminated, id)
+	s.terminatedIDs = append(s.terminatedIDs, id)
 	from := s.client()
 	if s.random.IntN(3) == 0 {
 		from = 0
--- a/internal/platform/connmanager/notifications.go
+++ b/internal/platform/connmanager/notifications.go
@@ -97,7 +97,7 @@
 		if c.isClosing() || slices.Contains(t.notifiedClients, c.id) {
 			continue
 		}
-		eligible := c.isOwner() || fallback && (c.state == served || c.openRequests > 0)
+		eligible := c.isOwner() || fallback && (c.state == clientServed || c.openRequests > 0)
 		if eligible && (best == nil || c.isLikelierOwner(best)) {
 			best = c
 		}
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -31,11 +31,11 @@
 
 // notificationTest checks which clients are notified of the end of container "x", and in which order.
 type notificationTest struct {
-	name      string
-	before    []Event
-	requester ClientID
-	then      map[Time]Event // by the time in tenths of a second
-	want      []ClientID
+	name          string
+	earlierEvents []Event
+	requester     ClientID
+	laterEvents   map[Time]Event // by the time in tenths of a second
+	want          []ClientID
 }
 
 // The client that requested the container is notified first, then the other owners, until one acknowledges.
@@ -102,12 +102,12 @@
 	m := New(100)
 	var got []ClientID
 	handle := func(now Time, e Event) { got = append(got, notifiedClients(t, m.Handle(now, []Event{e}))...) }
-	for _, e := range tc.before {
+	for _, e := range tc.earlierEvents {
 		handle(1, e)
 	}
 	handle(2, ContainerTerminated{"x", 16, tc.requester})
 	for i := Time(1); i <= 110; i++ {
-		if e := tc.then[i]; e != nil {
+		if e := tc.laterEvents[i]; e != nil {
 			handle(i*tenth, e)
 		}
 		handle(i*tenth, Tick{})
--- a/internal/platform/connmanager/pool.go
+++ b/internal/platform/connmanager/pool.go
@@ -33,7 +33,7 @@
 
 // CanOpenBeforeClose reports whether a connection may be opened before the evicted one is closed. The evicted
 // connection releases its descriptor only at the end of the iteration of the event loop. Until then the new connection
-// uses a quarter of the reserve; the rest covers the reserve's own purposes and as many new clients.
+// may use a quarter of the reserve. The rest covers the purposes of the reserve and the same number of new clients.
 func CanOpenBeforeClose(descriptors, connections int) bool {
 	return connections < descriptors-reservedDescriptors+reservedDescriptors/4
 }
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// cancelLostWhileSilent cancels the containers that were lost while the machine was silent, after activity of the
-// machine on a connection.
+// cancelLostWhileSilent cancels the containers that were declared lost while the machine was silent. It is called when
+// the machine shows activity on a connection.
 func (m *machine) cancelLostWhileSilent(mc *machineConn) {
 	if !mc.isEstablished() {
 		return // nothing may be written
--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -27,8 +27,8 @@
 
 // Detector monitors the machines on which containers run, and owns the terminations that no client has claimed yet.
 type Detector struct {
-	machines  map[string]*monitoredMachine
-	unclaimed []heldTermination // oldest first, at most maxUnclaimed
+	machines              map[string]*monitoredMachine
+	unclaimedTerminations []heldTermination // oldest first, at most maxUnclaimed
 }
 
 // monitoredMachine is a machine on which containers run.
--- a/internal/platform/failuredetector/unclaimed.go
+++ b/internal/platform/failuredetector/unclaimed.go
@@ -16,26 +16,29 @@
 
 // holdTermination holds a termination. If there are maxUnclaimed already, the oldest is dropped.
 func (d *Detector) holdTermination(now Time, e UnclaimedTermination) {
-	excess := max(0, len(d.unclaimed)+1-maxUnclaimed)
-	d.unclaimed = append(d.unclaimed[excess:], heldTermination{UnclaimedTermination: e, receivedAt: now})
+	excess := max(0, len(d.unclaimedTerminations)+1-maxUnclaimed)
+	d.unclaimedTerminations = append(
+		d.unclaimedTerminations[excess:],
+		heldTermination{UnclaimedTermination: e, receivedAt: now},
+	)
 }
 
 // containerReclaimed reports the oldest held termination of a container and removes it.
 func (d *Detector) containerReclaimed(e ContainerReclaimed) []Action {
-	i := slices.IndexFunc(d.unclaimed, func(h heldTermination) bool {
+	i := slices.IndexFunc(d.unclaimedTerminations, func(h heldTermination) bool {
 		return h.Machine == e.Machine && h.RequestID == e.RequestID
 	})
 	if i < 0 {
 		return nil
 	}
-	held := d.unclaimed[i]
-	d.unclaimed = slices.Delete(d.unclaimed, i, i+1)
+	held := d.unclaimedTerminations[i]
+	d.unclaimedTerminations = slices.Delete(d.unclaimedTerminations, i, i+1)
 	return []Action{ReportTermination(held.UnclaimedTermination)}
 }
 
 func (d *Detector) dropExpired(now Time) {
-	d.unclaimed = slices.DeleteFunc(
-		d.unclaimed,
+	d.unclaimedTerminations = slices.DeleteFunc(
+		d.unclaimedTerminations,
 		func(h heldTermination) bool { return now-h.receivedAt > unclaimedTTL },
 	)
 }
--- a/internal/platform/failuredetector/unclaimed_test.go
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -33,11 +33,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := New()
 			d.Handle(0, tc.before)
-			testutil.Expect(t, len(d.unclaimed) <= maxUnclaimed, "%d terminations are held", len(d.unclaimed))
+			testutil.Expect(t, len(d.unclaimedTerminations) <= maxUnclaimed,
+				"%d terminations are held", len(d.unclaimedTerminations))
 			want := []Action{ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}}[:tc.want]
 			testutil.SlicesEqual(t, d.Handle(tc.after, []Event{Tick{}, tc.reclaim}), want)
-			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimed) > 0 {
-				t.Errorf("%d terminations are held beyond the time limit", len(d.unclaimed))
+			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimedTerminations) > 0 {
+				t.Errorf("%d terminations are held beyond the time limit", len(d.unclaimedTerminations))
 			}
 		})
 	}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -153,7 +153,7 @@
 // markShuttingDown, called on the loop, sets the state of a shutdown that started some time ago.
 func (r *testServer) markShuttingDown(ago eventloop.Tick) {
 	shutdown := r.server.shutdown
-	shutdown.state, shutdown.startedAt = draining, r.server.env.loop.Now()-ago
+	shutdown.state, shutdown.startedAt = processDraining, r.server.env.loop.Now()-ago
 }
 
 // request connects a client that sends a request.
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -72,7 +72,7 @@
 // containerEnded counts the end of a running container that was offered on the connection.
 func (mc *machineConn) containerEnded() { mc.runningContainers-- }
 
-// whenEstablished calls do once the connection is established, and never if that fails.
+// whenEstablished calls do once the connection is established. If it cannot be established, do is never called.
 func (mc *machineConn) whenEstablished(do func()) {
 	if mc.isEstablished() {
 		do()
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -18,10 +18,10 @@
 type shutdownState uint8
 
 const (
-	serving  shutdownState = iota + 1
-	draining               // a shutdown has started, waiting for open requests
-	forcing                // the platform will soon kill the process: open requests are answered
-	drained                // no request is open: the process ends unless one has arrived meanwhile
+	processServing  shutdownState = iota + 1
+	processDraining               // a shutdown has started, waiting for open requests
+	processForcing                // the platform will soon kill the process: open requests are answered
+	processDrained                // no request is open: the process ends unless one has arrived meanwhile
 )
 
 func (s shutdownState) String() string {
@@ -43,14 +43,14 @@
 }
 
 var shutdownTransitions = statemachine.Table[shutdownState, shutdownEvent]{
-	serving:  {shutdownRequested: draining},
-	draining: {killApproached: forcing, drainCompleted: drained},
-	forcing:  {killApproached: forcing, drainCompleted: drained},
-	drained:  {killApproached: forcing, drainCompleted: drained, drainResumed: draining},
+	processServing:  {shutdownRequested: processDraining},
+	processDraining: {killApproached: processForcing, drainCompleted: processDrained},
+	processForcing:  {killApproached: processForcing, drainCompleted: processDrained},
+	processDrained:  {killApproached: processForcing, drainCompleted: processDrained, drainResumed: processDraining},
 }
 
 func newShutdownSequence(env *environment, containers *containerRegistry) *shutdownSequence {
-	return &shutdownSequence{env: env, containers: containers, state: serving}
+	return &shutdownSequence{env: env, containers: containers, state: processServing}
 }
 
 // transition applies an event. It is the only place where the state of the process changes.
@@ -63,7 +63,7 @@
 }
 
 // inProgress reports whether a shutdown has started.
-func (s *shutdownSequence) inProgress() bool { return s.state != serving }
+func (s *shutdownSequence) inProgress() bool { return s.state != processServing }
 
 // start begins a shutdown. Repeated requests have no effect.
 func (s *shutdownSequence) start() {
@@ -95,7 +95,7 @@
 
 // resume continues the drain if a request has arrived since the drain was completed.
 func (s *shutdownSequence) resume() {
-	if s.state == drained {
+	if s.state == processDrained {
 		_ = s.transition(drainResumed) // logged
 	}
 }
--- a/internal/platform/transcript_test.go
+++ b/internal/platform/transcript_test.go
@@ -100,7 +100,7 @@
 }
 
 type receivedLine struct {
-	on   *peer
+	conn *peer
 	line []byte
 }
 
@@ -130,7 +130,7 @@
 	select {
 	case r := <-g.received:
 		g.s.record(g.name, r.line, maxLeft)
-		return r.on
+		return r.conn
 	case <-time.After(testTimeout):
 		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
 		return nil
--- a/internal/platform/transitions_test.go
+++ b/internal/platform/transitions_test.go
@@ -25,7 +25,7 @@
 		"Attempt":            statemachinetest.NewPageMachine(attemptTransitions, attemptConnecting, attemptRunning),
 		"Machine connection": statemachinetest.NewPageMachine(machineConnTransitions, machineConnecting),
 		"Client connection":  statemachinetest.NewPageMachine(clientTransitions, clientAccepted),
-		"Shutdown":           statemachinetest.NewPageMachine(shutdownTransitions, serving),
+		"Shutdown":           statemachinetest.NewPageMachine(shutdownTransitions, processServing),
 	})
 }
 
