--- a/internal/controller/api/explanations.go
+++ b/internal/controller/api/explanations.go
@@ -71,7 +71,7 @@
 	reasons, state, err := h.server.PendingReasons(container)
 	explanation := Explanation{Container: container, State: state, Reasons: []Reason{}}
 	for _, r := range reasons {
-		until := int64(r.Until / scheduler.Millisecond)
+		until := int64(r.EndsAt / scheduler.Millisecond)
 		explanation.Reasons = append(explanation.Reasons, Reason{Reason: r, UntilMS: until})
 	}
 	return explanation, err
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -82,7 +82,7 @@
 func recordExplanation(t *testing.T, got *strings.Builder) {
 	t.Helper()
 	full := pending.Reason{
-		Code: pending.CodeNoCapacity, Text: "No room.", Until: 70,
+		Code: pending.CodeNoCapacity, Text: "No room.", EndsAt: 70,
 		Details: map[string]float64{"machines": 3, "full": 2.5},
 	}
 	line, err := json.Marshal(Explanation{
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -29,7 +29,7 @@
 			for _, r := range reasons {
 				line, err := json.Marshal(r) // details in order of their names
 				testutil.NoError(t, err)
-				digest.Printf("%s %d\n", line, r.Until)
+				digest.Printf("%s %d\n", line, r.EndsAt)
 			}
 			digest.Printf("\n")
 		}
@@ -62,12 +62,12 @@
 		"turned away: does not know yet", "turned away: full",
 	}
 	f.Container = controller.Container{
-		Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3),
-		Attempts: upTo(4), Scheduler: upTo(f.Schedulers) - 1, Since: now - scheduler.Time(upTo(90_000)),
+		Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), WasRefused: chance(0.3),
+		Attempts: upTo(4), Scheduler: upTo(f.Schedulers) - 1, EnteredStateAt: now - scheduler.Time(upTo(90_000)),
 		LastStatus: statuses[upTo(len(statuses)-1)],
 	}
 	if chance(0.7) {
-		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
+		f.Container.NextStepAt = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
 	x := &f.Explanation
 	x.Machines, x.WrongMachineType, x.Draining, x.TooSmall = upTo(limit), count(0.4), count(0.4), count(0.3)
--- a/internal/controller/pending/pending.go
+++ b/internal/controller/pending/pending.go
@@ -13,7 +13,7 @@
 	Code    Code               `json:"code"`
 	Text    string             `json:"text"`              // for display
 	Details map[string]float64 `json:"figures,omitempty"` // the numbers in Text, by name
-	Until   scheduler.Time     `json:"-"`                 // when the reason ends; 0: unknown
+	EndsAt  scheduler.Time     `json:"-"`                 // when the reason ends; 0: unknown
 }
 
 // Zone is the state of a zone according to the machine list.
@@ -67,11 +67,11 @@
 }
 
 func (e *explainer) addUntil(code Code, until scheduler.Time, details map[string]float64, format string, a ...any) {
-	e.reasons = append(e.reasons, Reason{Code: code, Text: fmt.Sprintf(format, a...), Details: details, Until: until})
+	e.reasons = append(e.reasons, Reason{Code: code, Text: fmt.Sprintf(format, a...), Details: details, EndsAt: until})
 }
 
 // remaining returns the time until the container's next step is due.
-func (e *explainer) remaining() scheduler.Time { return max(0, e.facts.Container.Until-e.now) }
+func (e *explainer) remaining() scheduler.Time { return max(0, e.facts.Container.NextStepAt-e.now) }
 
 func (e *explainer) explainSchedulers() {
 	f := e.facts
@@ -95,11 +95,11 @@
 	switch c.State {
 	case controller.StateFencing:
 		left := seconds(e.remaining())
-		e.addUntil(CodeFencing, c.Until, map[string]float64{"seconds": left}, textFencing, c.LastStatus, left)
+		e.addUntil(CodeFencing, c.NextStepAt, map[string]float64{"seconds": left}, textFencing, c.LastStatus, left)
 	case controller.StateUnobserved:
-		e.addUntil(CodeUnobserved, c.Until, nil, textUnobserved)
+		e.addUntil(CodeUnobserved, c.NextStepAt, nil, textUnobserved)
 	case controller.StatePlacing:
-		age := seconds(e.now - c.Since)
+		age := seconds(e.now - c.EnteredStateAt)
 		e.add(CodePlacing, map[string]float64{"seconds": age}, textPlacing, age)
 	case controller.StatePending:
 		e.explainPending()
@@ -110,15 +110,15 @@
 func (e *explainer) explainPending() {
 	c := &e.facts.Container
 	switch {
-	case c.Refused && outcomeUnknown(c.LastStatus):
-		e.addUntil(CodeOutcomeUnknown, c.Until, nil, textOutcomeUnknown, c.LastStatus)
-	case c.Refused:
-		e.addUntil(CodeRefused, c.Until, nil, textRefused, c.LastStatus)
+	case c.WasRefused && outcomeUnknown(c.LastStatus):
+		e.addUntil(CodeOutcomeUnknown, c.NextStepAt, nil, textOutcomeUnknown, c.LastStatus)
+	case c.WasRefused:
+		e.addUntil(CodeRefused, c.NextStepAt, nil, textRefused, c.LastStatus)
 	}
-	if c.Until > 0 && c.Attempts > 0 {
+	if c.NextStepAt > 0 && c.Attempts > 0 {
 		left := seconds(e.remaining())
 		details := map[string]float64{"seconds": left, "tries": float64(c.Attempts)}
-		e.addUntil(CodeBackingOff, c.Until, details, textBackingOff, c.LastStatus, c.Attempts, left)
+		e.addUntil(CodeBackingOff, c.NextStepAt, details, textBackingOff, c.LastStatus, c.Attempts, left)
 	}
 }
 
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -19,7 +19,7 @@
 	x.Machines = 10
 	return Facts{
 		Container: controller.Container{
-			State: controller.StatePending, Until: 7 * second, Attempts: 2, LastStatus: "pushed back",
+			State: controller.StatePending, NextStepAt: 7 * second, Attempts: 2, LastStatus: "pushed back",
 		},
 		Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, HasExplanation: true,
 		Explanation: x, SlowStartWindow: 3 * second,
@@ -36,7 +36,7 @@
 // refusedFacts returns the facts about a container that a scheduler has refused, in a full fleet.
 func refusedFacts(message string) Facts {
 	return fullFleetFacts(func(f *Facts) {
-		f.Container.Refused, f.Container.LastStatus = true, "turned away: "+message
+		f.Container.WasRefused, f.Container.LastStatus = true, "turned away: "+message
 	})
 }
 
@@ -76,16 +76,16 @@
 		{"running", factsInState(controller.StateRunning), "", ""},
 		{"just requested", factsInState(controller.StatePending), "unknown", ""},
 		{"fencing", fullFleetFacts(func(f *Facts) {
-			f.Container.State, f.Container.Until = controller.StateFencing, 11*second
+			f.Container.State, f.Container.NextStepAt = controller.StateFencing, 11*second
 		}), "guard no_room", "for another 6.0 s"},
 		{"no scheduler connected", fullFleetFacts(func(f *Facts) {
-			f.SchedulersConnected, f.HasExplanation, f.Container.Until, f.SchedulerConnected = 0, false, 0, false
+			f.SchedulersConnected, f.HasExplanation, f.Container.NextStepAt, f.SchedulerConnected = 0, false, 0, false
 		}), "no_placer", "None of the 2 placers"},
 		{"the only scheduler that can tell is not connected", fullFleetFacts(func(f *Facts) {
 			f.Container.Sticky, f.SchedulerConnected, f.HasExplanation = true, false, false
 		}), "placer_away backing_off", ""},
 		{"being placed", fullFleetFacts(func(f *Facts) {
-			f.Container.State, f.HasExplanation, f.Container.Since = controller.StatePlacing, false, 4*second
+			f.Container.State, f.HasExplanation, f.Container.EnteredStateAt = controller.StatePlacing, false, 4*second
 		}), "being_placed", "for 1.0 s"},
 		{"refused, machine silent", refusedFacts(mayRun.Error()), "unsure no_room backing_off", "may run on machine m"},
 		{"refused, recovering", refusedFacts(recovering.Error()), "unsure no_room backing_off", "does not know yet"},
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -38,24 +38,24 @@
 // Handle is given. Its booleans are part of the stored format. Decisions use the typed state and the fields of replica
 // instead; record and newRestoredReplica convert between the two types.
 type Container struct {
-	Job         string         `cbor:"Job"`
-	Index       int            `cbor:"Index"`
-	State       ContainerState `cbor:"State"`
-	Terminating bool           `cbor:"Leaving"` // no longer wanted
-	Machine     string         `cbor:"Machine"`
-	Scheduler   int            `cbor:"Door"`   // index of the scheduler that received the last request for it; -1: none
-	Sticky      bool           `cbor:"Pinned"` // it may be running, and only Scheduler can tell
-	Since       scheduler.Time `cbor:"Since"`  // when it entered State
-	Until       scheduler.Time `cbor:"Until"`  // when the next step is due; 0: no step is scheduled
-	Attempts    int            `cbor:"Tries"`  // number of placement requests since it last ran
-	Starts      int            `cbor:"Starts"`
-	LastStatus  string         `cbor:"Last"` // last answer or outcome, for display
-	Refused     bool           `cbor:"Held"` // the last answer was a VerdictRefused
+	Job            string         `cbor:"Job"`
+	Index          int            `cbor:"Index"`
+	State          ContainerState `cbor:"State"`
+	Terminating    bool           `cbor:"Leaving"` // no longer wanted
+	Machine        string         `cbor:"Machine"`
+	Scheduler      int            `cbor:"Door"`   // index of the scheduler that received the last request; -1: none
+	Sticky         bool           `cbor:"Pinned"` // it may be running, and only Scheduler can tell
+	EnteredStateAt scheduler.Time `cbor:"Since"`  // when it entered State
+	NextStepAt     scheduler.Time `cbor:"Until"`  // when the next step is due; 0: no step is scheduled
+	Attempts       int            `cbor:"Tries"`  // number of placement requests since it last ran
+	Starts         int            `cbor:"Starts"`
+	LastStatus     string         `cbor:"Last"` // last answer or outcome, for display
+	WasRefused     bool           `cbor:"Held"` // the last answer was a VerdictRefused
 
 	// The fields below are needed only by the next incarnation of the controller.
 	IdempotencyKey string `cbor:"Key"`
 	RequestID      string `cbor:"Ask"`      // of the last request
 	Submitted      bool   `cbor:"Again"`    // its placement was requested under IdempotencyKey
-	Replacing      bool   `cbor:"Replaced"` // cancelled in favor of a newer spec
+	BeingReplaced  bool   `cbor:"Replaced"` // cancelled in favor of a newer spec
 	SubmittedSpec  Spec   `cbor:"With"`     // the spec of the last placement request
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -53,11 +53,11 @@
 func newRestoredReplica(j *job, stored *Container) *replica {
 	return &replica{
 		job: j, index: stored.Index,
-		terminating: stored.Terminating, beingReplaced: stored.Replacing, wasRefused: stored.Refused,
+		terminating: stored.Terminating, beingReplaced: stored.BeingReplaced, wasRefused: stored.WasRefused,
 		idempotencyKey: stored.IdempotencyKey, keyUse: storedKeyUse(stored), requestID: stored.RequestID,
 		scheduler: stored.Scheduler, machine: stored.Machine, submittedSpec: stored.SubmittedSpec,
 		attempts: stored.Attempts, starts: stored.Starts,
-		enteredStateAt: stored.Since, nextStepAt: stored.Until, lastStatus: stored.LastStatus,
+		enteredStateAt: stored.EnteredStateAt, nextStepAt: stored.NextStepAt, lastStatus: stored.LastStatus,
 	}
 }
 
@@ -76,10 +76,10 @@
 	return Container{
 		Job: r.job.id, Index: r.index, State: r.state.containerState(), Terminating: r.terminating,
 		Machine: r.machine, Scheduler: r.scheduler, Sticky: r.sticky(),
-		Since: r.enteredStateAt, Until: r.nextStepAt, Attempts: r.attempts, Starts: r.starts,
-		LastStatus: r.lastStatus, Refused: r.wasRefused,
+		EnteredStateAt: r.enteredStateAt, NextStepAt: r.nextStepAt, Attempts: r.attempts, Starts: r.starts,
+		LastStatus: r.lastStatus, WasRefused: r.wasRefused,
 		IdempotencyKey: r.idempotencyKey, RequestID: r.requestID, Submitted: r.keyUse != keyUnused,
-		Replacing: r.beingReplaced, SubmittedSpec: r.submittedSpec,
+		BeingReplaced: r.beingReplaced, SubmittedSpec: r.submittedSpec,
 	}
 }
 
--- a/internal/controller/server/containers.go
+++ b/internal/controller/server/containers.go
@@ -29,7 +29,7 @@
 	object := Container{
 		ID: containerID(c.Job, c.Index), Job: c.Job, Index: c.Index,
 		State: c.State.String(), Terminating: c.Terminating, Machine: c.Machine,
-		SinceMS: int64(c.Since / scheduler.Millisecond), UntilMS: int64(c.Until / scheduler.Millisecond),
+		SinceMS: int64(c.EnteredStateAt / scheduler.Millisecond), UntilMS: int64(c.NextStepAt / scheduler.Millisecond),
 		Attempts: c.Attempts, Starts: c.Starts, LastStatus: c.LastStatus,
 	}
 	if c.Scheduler >= 0 {
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -48,9 +48,9 @@
 
 	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{
 		Job: "reports", Index: 2, State: controller.StateRunning, Terminating: true, Machine: "m17", Scheduler: 1,
-		Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3, Starts: 4,
-		LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32",
-		Submitted: true, Replacing: true, SubmittedSpec: goldenSpec,
+		Sticky: true, EnteredStateAt: 17_000_000_000_001, NextStepAt: 17_000_000_000_002, Attempts: 3, Starts: 4,
+		LastStatus: "runs", WasRefused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32",
+		Submitted: true, BeingReplaced: true, SubmittedSpec: goldenSpec,
 	}}
 	goldenPlainContainer = ContainerRecord{Container: controller.Container{
 		Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
