--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -130,7 +130,7 @@
 		snapshot.ListVersion, len(snapshot.Entries), suspected, ejected)
 }
 
-// verifyState returns errNegative if the folder is damaged.
+// verifyState returns errNegativeResult if the folder is damaged.
 func verifyState(path string, out, errOut io.Writer) error {
 	f, err := readStateFolder(path)
 	if err != nil {
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -58,7 +58,7 @@
 	return c
 }
 
-// run sends the requests, prints the answers, and returns errNegative if a container is not placed.
+// run sends the requests, prints the answers, and returns errNegativeResult if a container is not placed.
 func (s *submission) run(ctx context.Context, out io.Writer) error {
 	c, err := dialScheduler(ctx, s.address)
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,8 +30,8 @@
 // Config is the configuration of one incarnation of the controller.
 type Config struct {
 	Seed uint64 // seed of the random numbers
-	// Idempotency keys and request ids get numbers above FirstSequence, so that those of earlier incarnations are not
-	// reused.
+	// Idempotency keys and request ids get numbers above FirstSequence, so that no key or id of an earlier
+	// incarnation is reused.
 	FirstSequence   uint64
 	SchedulerCount  int
 	WorkloadClasses []WorkloadClass
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -60,5 +60,5 @@
 //	| unobserved | SchedulerConnected | pending, cancelling |
 //	| completed  | ScaledDown         | removed |
 //
-// A replica is stored as a Container, whose states are those of the API.
+// A replica is stored as a Container. The states of a Container are the states that the API shows.
 package controller
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// lifecycle changes the state of replicas. It has a method for each event of a replica, which leads to one of the
-// states that transitions allows.
+// lifecycle changes the state of replicas. It has a method for each event of a replica. Each method moves the
+// replica to one of the states that transitions allows.
 type lifecycle struct {
 	clock      *clock
 	sequence   *sequence
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -19,9 +19,9 @@
 }
 
 // SetJob creates or changes a job and returns its version once the change is on disk. A precondition above 0 is the
-// version that the job must have; 0 is no precondition. With MustNotExist, a retry of the request that created the job
-// returns the job's version instead of a conflict. Errors are *InvalidFieldError, *ConflictError, *NotPersistedError,
-// ErrNotFound and ErrStopped.
+// version that the job must have; 0 means no precondition. With MustNotExist, a retry of the request that created the
+// job returns the job's version instead of a conflict. Errors are *InvalidFieldError, *ConflictError,
+// *NotPersistedError, ErrNotFound and ErrStopped.
 func (s *Server) SetJob(job Job, precondition int64, token CreationToken) (version int64, err error) {
 	spec, err := s.specs.read(&job)
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 // DeleteJob deletes a job and ends its containers. It returns once the deletion is on disk. Precondition and errors are
-// those of SetJob.
+// the same as for SetJob.
 func (s *Server) DeleteJob(id string, precondition int64) error {
 	_, err := s.changeJob(id, func(current *Job) (*JobRecord, controller.Event, error) {
 		if current == nil {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// parseSettings reads the settings of the scheduler and those of this process.
+// parseSettings reads the settings of the scheduler, and the settings that this process uses itself.
 func (config *Config) parseSettings(seed uint64, settings json.RawMessage) error {
 	pairs, err := flattenSettings(settings)
 	if err != nil {
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -180,7 +180,7 @@
 }
 
 // evictClient closes the client of the lowest rank. Among clients of rank evictNew or evictOpenRequest it closes the
-// newest, among those of any other rank the least recently active. It is called only when there are more than
+// newest, among clients of any other rank the least recently active. It is called only when there are more than
 // maxClients active clients, so a victim always exists.
 func (m *Manager) evictClient(now Time) {
 	var victim *client
--- a/internal/platform/connmanager/connmanager.go
+++ b/internal/platform/connmanager/connmanager.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// tick enforces the time limits of notifications, then those of clients.
+// tick enforces the time limits of notifications, and then the time limits of clients.
 func (m *Manager) tick(now Time) {
 	m.retryNotifications(now)
 	m.closeTimedOutClients(now)
--- a/internal/statemachine/table.go
+++ b/internal/statemachine/table.go
@@ -29,8 +29,8 @@
 // Choices maps each state and event to the possible next states.
 type Choices[State, Event symbol] map[State]map[Event][]State
 
-// Apply applies an event to a state; the next state, to, must be one of the possible ones. The subject is the object
-// that has the state; it is formatted only for the error.
+// Apply applies an event to a state. The next state, to, must be among the possible next states. The subject is the
+// object that has the state; it is formatted only for the error.
 //
 //nolint:revive // confusing-naming mistakes the methods of two types with two type parameters for those of one
 func (c Choices[State, Event]) Apply(subject any, state *State, event Event, to State) error {
