--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -64,8 +64,8 @@
 	l.outbox.emit(CancelRequest{r.scheduler, r.requestID, r.idempotencyKey})
 }
 
-// cancelKey cancels a replica that may be running, with a new request to the only scheduler that can tell. While that
-// scheduler is not connected the replica is kept, because a replacement could become a second copy.
+// cancelKey cancels a replica that may be running, with a new request to the only scheduler that can tell whether it
+// runs. While that scheduler is not connected the replica is kept, because a replacement could become a second copy.
 func (l *lifecycle) cancelKey(r *replica, event replicaEvent) {
 	if !l.schedulers.isConnected(r.scheduler) {
 		l.enter(r, event, replicaUnobserved, noTimer, r.lastStatus)
@@ -80,7 +80,7 @@
 // rollOut replaces running containers by containers of the job's newest spec, one at a time.
 func (l *lifecycle) rollOut(j *job) {
 	if r := j.nextToReplace(); r != nil {
-		r.replacing = true
+		r.beingReplaced = true
 		l.outbox.markChanged(r)
 		l.cancelRequest(r)
 	}
--- a/internal/platform/adoption/displace.go
+++ b/internal/platform/adoption/displace.go
@@ -4,10 +4,10 @@
 
 // displacement selects the adopted claims that a new claim displaces.
 type displacement struct {
-	claims  *Claims
-	client  ClientID // the client of the new claim
-	victims []*adoptedClaim
-	counts  map[ClientID]int // number of victims by client
+	claims       *Claims
+	client       ClientID // the client of the new claim
+	victims      []*adoptedClaim
+	victimCounts map[ClientID]int // number of victims by client
 }
 
 // makeRoom reports whether a new claim fits. If so, it returns the claims that have to be displaced.
@@ -15,7 +15,7 @@
 	if !machine.Capacity.canHold(claim.Load) {
 		return nil, false
 	}
-	d := &displacement{claims: c, client: claim.Client, counts: map[ClientID]int{}}
+	d := &displacement{claims: c, client: claim.Client, victimCounts: map[ClientID]int{}}
 	running := machine.Running
 	for !machine.Capacity.hasRoom(running) {
 		victim := d.chooseVictim(c.byMachine[claim.Machine])
@@ -29,7 +29,7 @@
 	}
 	largest := c.largestClient()
 	if !d.canLoseClaim(largest) {
-		return nil, false // without iterating over its claims
+		return nil, false // saves the iteration over the claims of that connection
 	}
 	return d.victims, d.chooseVictim(c.byClient[largest]) != nil
 }
@@ -41,7 +41,8 @@
 	return claim.listed && len(c.byMachine[claim.Machine]) == 1
 }
 
-// largestClient returns the connection with the most claims; of several, the latest.
+// largestClient returns the connection with the most claims. If several have as many, it returns the one that was
+// opened last.
 func (c *Claims) largestClient() ClientID {
 	var largest ClientID
 	for client, claims := range c.byClient {
@@ -64,7 +65,7 @@
 	}
 	if victim != nil {
 		d.victims = append(d.victims, victim)
-		d.counts[victim.Client]++
+		d.victimCounts[victim.Client]++
 	}
 	return victim
 }
@@ -75,8 +76,8 @@
 		!slices.Contains(d.victims, candidate)
 }
 
-// canLoseClaim reports whether a connection that loses a claim still has at least as many as the connection of the new
-// claim then has.
+// canLoseClaim reports whether a connection that loses one claim still has at least as many claims as the connection of
+// the new claim has after the adoption.
 func (d *displacement) canLoseClaim(client ClientID) bool {
 	return d.claimsLeft(client) > len(d.claims.byClient[d.client])+1
 }
@@ -87,7 +88,7 @@
 	return left > otherLeft || left == otherLeft && candidate.number > other.number
 }
 
-// claimsLeft returns the number of claims that a connection has left.
+// claimsLeft returns the number of claims of a connection that are not victims.
 func (d *displacement) claimsLeft(client ClientID) int {
-	return len(d.claims.byClient[client]) - d.counts[client]
+	return len(d.claims.byClient[client]) - d.victimCounts[client]
 }
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -14,7 +14,7 @@
 	// a client that was sent nothing and has no open request is closed after this time
 	firstRequestTimeout   = 2 * Second
 	partialMessageTimeout = 2 * Second       // a client whose message stays incomplete for longer is closed
-	newClientGrace        = Second / 5       // the first request of a more recent client may still be in transit
+	newClientGrace        = Second / 5       // the first request of a newer client may still be in transit
 	clientStaleAfter      = 4 * Second       // owners close their own connections after this idle time
 	minReadPause          = 50 * Millisecond // after the first invalid message; doubles with each further one
 	maxReadPause          = Second           // upper limit of the doubling
@@ -26,7 +26,7 @@
 }
 
 func (m *Manager) clientConnected(now Time, e ClientConnected) {
-	m.clients[e.Client] = &client{id: e.Client, state: unserved, connectedAt: now, lastActiveAt: now}
+	m.clients[e.Client] = &client{id: e.Client, state: clientUnserved, connectedAt: now, lastActiveAt: now}
 	m.activeClients++
 	if m.activeClients > m.maxClients {
 		m.evictClient(now)
@@ -140,7 +140,7 @@
 // isUnused reports whether a client without an open request has exceeded firstRequestTimeout without being served and
 // without sufficient evidence of ownership.
 func (c *client) isUnused(now Time, sufficient ownershipEvidence) bool {
-	return c.state == unserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
+	return c.state == clientUnserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
 }
 
 func (m *Manager) closeClient(c *client, reason CloseReason) {
@@ -173,14 +173,14 @@
 		return evictActiveOwner
 	case now-c.connectedAt < newClientGrace:
 		return evictNew
-	case c.state == served:
+	case c.state == clientServed:
 		return evictServed
 	}
 	return evictUnserved
 }
 
 // evictClient closes the client of the lowest rank. Among clients of rank evictNew or evictOpenRequest it closes the
-// newest, among those of any other rank the least recently active. It is called only when there are more than
+// newest, among clients of any other rank the least recently active. It is called only when there are more than
 // maxClients active clients, so a victim always exists.
 func (m *Manager) evictClient(now Time) {
 	var victim *client
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -17,12 +17,12 @@
 }
 
 func onBusyMachine(c MachineConn) MachineConn {
-	c.MachineHasRunning = true
+	c.MachineRunsContainers = true
 	return c
 }
 
-func carryingRunning(c MachineConn) MachineConn {
-	c.CarriesRunning = true
+func carryingRunningContainer(c MachineConn) MachineConn {
+	c.CarriesRunningContainer = true
 	return c
 }
 
@@ -36,7 +36,7 @@
 		{"the first, used recently", asPrimary(idleConn(14 * Second)), true},
 		{"the first, idle", asPrimary(idleConn(15 * Second)), false},
 		{"another, used recently", onBusyMachine(idleConn(4 * Second)), true},
-		{"another, carries a running container", carryingRunning(onBusyMachine(idleConn(60 * Second))), true},
+		{"another, carries a running container", carryingRunningContainer(onBusyMachine(idleConn(60 * Second))), true},
 		{"another, idle", onBusyMachine(idleConn(5 * Second)), false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
@@ -60,8 +60,8 @@
 	conns := []MachineConn{ // in order of eviction
 		{IdleFor: Second},
 		{Primary: true, IdleFor: Second},
-		{MachineHasRunning: true, IdleFor: Second},
-		{MachineHasRunning: true, CarriesRunning: true, IdleFor: Second},
+		{MachineRunsContainers: true, IdleFor: Second},
+		{MachineRunsContainers: true, CarriesRunningContainer: true, IdleFor: Second},
 	}
 	last := 0
 	for _, c := range conns {
--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -27,15 +27,15 @@
 
 // Detector monitors the machines on which containers run, and owns the terminations that no client has claimed yet.
 type Detector struct {
-	machines  map[string]*monitoredMachine
-	unclaimed []heldTermination // oldest first, at most maxUnclaimed
+	machines              map[string]*monitoredMachine
+	unclaimedTerminations []heldTermination // oldest first, at most maxUnclaimed
 }
 
 // monitoredMachine is a machine on which containers run.
 type monitoredMachine struct {
 	id             string
 	lastActivityAt Time
-	lastConnectAt  Time // when a connection was last tried; 0 if not since the last activity
+	lastConnectAt  Time // when a connection was last tried; 0: none was tried since the last activity
 }
 
 // New returns a detector that monitors no machine yet.
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -18,10 +18,10 @@
 type shutdownState uint8
 
 const (
-	serving  shutdownState = iota + 1
-	draining               // a shutdown has started, waiting for open requests
-	forcing                // the platform will soon kill the process: open requests are answered
-	drained                // no request is open: the process ends unless one has arrived meanwhile
+	processServing  shutdownState = iota + 1
+	processDraining               // a shutdown has started, waiting for open requests
+	processForcing                // the platform will soon kill the process: open requests are answered
+	processDrained                // no request is open: the process ends unless one has arrived meanwhile
 )
 
 func (s shutdownState) String() string {
@@ -43,14 +43,14 @@
 }
 
 var shutdownTransitions = statemachine.Table[shutdownState, shutdownEvent]{
-	serving:  {shutdownRequested: draining},
-	draining: {killApproached: forcing, drainCompleted: drained},
-	forcing:  {killApproached: forcing, drainCompleted: drained},
-	drained:  {killApproached: forcing, drainCompleted: drained, drainResumed: draining},
+	processServing:  {shutdownRequested: processDraining},
+	processDraining: {killApproached: processForcing, drainCompleted: processDrained},
+	processForcing:  {killApproached: processForcing, drainCompleted: processDrained},
+	processDrained:  {killApproached: processForcing, drainCompleted: processDrained, drainResumed: processDraining},
 }
 
 func newShutdownSequence(env *environment, containers *containerRegistry) *shutdownSequence {
-	return &shutdownSequence{env: env, containers: containers, state: serving}
+	return &shutdownSequence{env: env, containers: containers, state: processServing}
 }
 
 // transition applies an event. It is the only place where the state of the process changes.
@@ -63,7 +63,7 @@
 }
 
 // inProgress reports whether a shutdown has started.
-func (s *shutdownSequence) inProgress() bool { return s.state != serving }
+func (s *shutdownSequence) inProgress() bool { return s.state != processServing }
 
 // start begins a shutdown. Repeated requests have no effect.
 func (s *shutdownSequence) start() {
@@ -74,14 +74,14 @@
 	s.env.log.Info("shutdown started", "containers", s.containers.count())
 }
 
-// stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. It is therefore called only in an
-// iteration that has handled all its input, and nothing is read between it and the exit.
+// stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. stopIfDrained is therefore called
+// only in an iteration that has handled all its input, and no input is read between the call and the exit.
 func (s *shutdownSequence) stopIfDrained() {
 	if !s.inProgress() {
 		return
 	}
 	elapsed := s.elapsed(s.env.loop.Now())
-	if connmanager.ShouldKeepDraining(elapsed, s.containers.unansweredCount(), s.longestDeadline()) {
+	if connmanager.ShouldKeepDraining(elapsed, s.containers.unansweredCount(), s.longestPlacementTimeout()) {
 		s.resume()
 		return
 	}
@@ -95,14 +95,14 @@
 
 // resume continues the drain if a request has arrived since the drain was completed.
 func (s *shutdownSequence) resume() {
-	if s.state == drained {
+	if s.state == processDrained {
 		_ = s.transition(drainResumed) // logged
 	}
 }
 
 // forceAnswersIfDue ends the attempts of unanswered requests shortly before the platform kills the process.
 func (s *shutdownSequence) forceAnswersIfDue(now eventloop.Tick) {
-	if !s.inProgress() || !connmanager.ShouldForceAnswers(s.elapsed(now), s.longestDeadline()) {
+	if !s.inProgress() || !connmanager.ShouldForceAnswers(s.elapsed(now), s.longestPlacementTimeout()) {
 		return
 	}
 	if s.transition(killApproached) == nil {
@@ -115,8 +115,8 @@
 	return connmanager.Time(now - s.startedAt)
 }
 
-// longestDeadline is the longest time that a workload class allows a request to wait.
-func (s *shutdownSequence) longestDeadline() connmanager.Time {
+// longestPlacementTimeout is the longest time that a workload class allows a request to wait.
+func (s *shutdownSequence) longestPlacementTimeout() connmanager.Time {
 	var longest connmanager.Time
 	for _, class := range s.env.config.Scheduler.WorkloadClasses {
 		longest = max(longest, connmanager.Time(class.PlacementTimeout))
