--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -15,7 +15,7 @@
 	Timeout Time // 0: until the deadline
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt cancels an attempt that no machine has accepted yet.
 type CancelAttempt struct {
 	ID      ContainerID
 	Attempt int
@@ -43,7 +43,7 @@
 }
 
 // WatchMachineList polls the machine list and watches its changes. A MachineListUpdate follows.
-type WatchMachineList struct{ Enabled bool }
+type WatchMachineList struct{ Enabled bool } // false: end the watch
 
 // FetchMachineList polls the machine list without a watch.
 type FetchMachineList struct{}
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -4,7 +4,7 @@
 // once, under the first filter that excludes it.
 type Explanation struct {
 	Machines           int // sum of the counts below, without Gone
-	Gone               int
+	Gone               int // known, but not in the machine list
 	WrongMachineType   int
 	Draining           int
 	TooSmall           int
@@ -16,7 +16,7 @@
 	InsufficientCores  int // by the requests in the machine list
 	InsufficientMemory int
 	Eligible           int
-	SheddingLoad       bool    // requests of low priority are rejected
+	SheddingLoad       bool    // whether requests of low priority are rejected
 	FullRatio          float64 // moving share of attempts that found their machine full
 }
 
@@ -26,7 +26,7 @@
 	Machines        []MachineSnapshot `cbor:"Machines"`
 	TrafficClasses  []TrafficClass    `cbor:"Traits"`    // workload classes, then tenants, then "no tenant"
 	FullRatio       float64           `cbor:"Full"`      // moving share of attempts that found their machine full
-	RejectedWeight  float64           `cbor:"Missed"`    // moving average of priority weights, with 0 if accepted
+	RejectedWeight  float64           `cbor:"Missed"`    // moving average: priority weight if full, 0 if accepted
 	SendsKnownSince Time              `cbor:"SentSince"` // all sends to machines in slow start since then are known
 }
 
@@ -39,7 +39,7 @@
 	EjectionTime      Time              `cbor:"Rest"`      // length of the next ejection
 	SelfDrainingUntil Time              `cbor:"ShutUntil"`
 	FailureEvidence   []FailureEvidence `cbor:"Doubts"` // by traffic class
-	RecentSends       []Time            `cbor:"Cold"`   // attempts and probes of the last window, earliest first
+	RecentSends       []Time            `cbor:"Cold"`   // attempts and probes of the last slow-start window
 }
 
 // TrafficClass holds the statistics of a workload class or a tenant. A machine may fail one class and serve the others.
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -73,11 +73,11 @@
 // attemptTimeout returns how long the next attempt may take. It leaves time for a retry on another machine if one is
 // allowed.
 func (s *Scheduler) attemptTimeout(c *container) Time {
-	left := c.request.Deadline - s.now
+	timeLeft := c.request.Deadline - s.now
 	if c.class.Idempotency == AtMostOnce || c.attempts >= s.config.MaxAttempts {
-		return left
+		return timeLeft
 	}
-	return min(left, c.class.PlacementTimeout/2)
+	return min(timeLeft, c.class.PlacementTimeout/2)
 }
 
 // respond gives the client its final answer: a rejection if a retry by the client is safe, else a failure. An attempt
@@ -112,7 +112,7 @@
 }
 
 // handleAttemptEnded handles the outcome of an attempt; each attempt has one. Unless the outcome is final, the client
-// still waits and the container is placed again. An outcome that crossed an acceptance on the way is not final either.
+// still waits and the container is placed again. An outcome whose message crossed the acceptance is not final either.
 func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
 	c := s.containers.findPlaced(e.ID)
 	if c == nil {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -64,7 +64,7 @@
 // Config is the configuration of a scheduler. The tags are the field names in recordings.
 type Config struct {
 	Seed               uint64          `cbor:"Seed"`
-	SchedulerIndex     int             `cbor:"Me"` // of this instance, from 0
+	SchedulerIndex     int             `cbor:"Me"` // index of this scheduler, from 0
 	SchedulerCount     int             `cbor:"Placers"`
 	WorkloadClasses    []WorkloadClass `cbor:"Workloads"`
 	MachineTypes       []MachineType   `cbor:"Kinds"`
@@ -79,8 +79,8 @@
 	ListTracksRequests bool            `cbor:"ListedAsks"` // free amounts in the machine list are total minus requested
 	ProbesAllowed      bool            `cbor:"MayProbe"`
 	MaxAttempts        int             `cbor:"MostBids"`
-	AnswerGrace        Time            `cbor:"AnswerGrace"` // after the deadline, while an answer is still in time
-	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list is sent only after WatchMachineList
+	AnswerGrace        Time            `cbor:"AnswerGrace"` // time after the deadline in which an answer counts
+	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the list service sends only after WatchMachineList
 	ResyncInterval     Time            `cbor:"AskWithin"`   // longest time until the list has to be polled
 	SlowStartPeriod    Time            `cbor:"ColdFor"`     // length of slow start after the start of a machine
 	SlowStartWindow    Time            `cbor:"ColdWindow"`
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -9,10 +9,10 @@
 	class    *WorkloadClass
 	service  *service
 	attempts int
-	machine  *machine // of the open attempt, or the one that runs the container; nil if there is none
-	sentAt   Time     // of that attempt
+	machine  *machine // machine of the open attempt, or the one that runs the container; nil if there is none
+	sentAt   Time     // send time of the attempt on machine
 	accepted bool
-	closed   bool // answered or cancelled: at most an outcome is still expected
+	closed   bool // answered or cancelled: only the outcome of an open attempt may still follow
 	firstRun possibleRun
 	excluded []*machine // machines where no further attempt is made
 	failures []unattributedFailure
@@ -28,9 +28,9 @@
 // service counts the containers of a service, in total and by machine.
 type service struct {
 	name         string
-	hash         uint64 // of the name
+	hash         uint64 // hash of the name
 	containers   int
-	reservations map[*machine]int
+	reservations map[*machine]int // containers that are being placed on the machine or run there
 }
 
 // reservationsSharing counts the service's containers in the same scope as the machine. Containers on machines that are
@@ -97,7 +97,7 @@
 	return failures
 }
 
-// recordPossibleRun records an attempt that may have run the container, if it is the first.
+// recordPossibleRun records an attempt that may have run the container, unless an earlier one is recorded.
 func (c *container) recordPossibleRun(m *machine, sentAt Time) {
 	if c.firstRun.machine == nil {
 		c.firstRun = possibleRun{machine: m, sentAt: sentAt}
@@ -146,8 +146,8 @@
 	}
 }
 
-// indicatesDrain reports whether a reason shows that the machine drains itself: it sent the container away, or it does
-// not know a container that cannot have run elsewhere. Either may happen before the machine list shows the drain.
+// indicatesDrain reports whether a reason shows that the machine drains itself: the machine sent the container away, or
+// does not know a container that cannot have run elsewhere. Both may happen before the machine list shows the drain.
 func (c *container) indicatesDrain(reason Reason) bool {
 	neverRan := c.firstRun.machine == nil && !c.request.ClientRetry
 	return reason == ReasonDrained || reason == ReasonWrongMachine && neverRan
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -25,7 +25,8 @@
 // find returns the container, or nil if it is unknown.
 func (r *containerRegistry) find(id ContainerID) *container { return r.containers[id] }
 
-// findPlaced returns a container that has a machine: its attempt is open, or it runs. It returns nil for any other.
+// findPlaced returns a container that has a machine, because its attempt is open or because it runs. It returns nil if
+// the container has no machine or is unknown.
 func (r *containerRegistry) findPlaced(id ContainerID) *container {
 	c := r.containers[id]
 	if c == nil || c.machine == nil {
@@ -89,7 +90,7 @@
 	r.reserve(c, m, now)
 }
 
-// endAttempt releases the reservations of the container's attempt and returns the attempt as it was before.
+// endAttempt releases the reservations of the container's attempt and returns the state of the attempt before.
 func (r *containerRegistry) endAttempt(c *container) endedAttempt {
 	attempt := endedAttempt{
 		container: c,
@@ -141,7 +142,7 @@
 	c.used = used
 }
 
-// silentMachines returns the machines that have sent nothing since an attempt went to them more than span ago.
+// silentMachines returns the machines that have sent nothing since an attempt was sent to them more than span ago.
 func (r *containerRegistry) silentMachines(span, now Time) map[*machine]bool {
 	silent := map[*machine]bool{}
 	for _, c := range r.containers {
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// deadlineTimer keeps a timer for the next deadline only. When it fires, check sets the timer for the one after.
+// deadlineTimer keeps a timer for the next deadline only. When the timer fires, check sets one for the deadline after.
 type deadlineTimer struct {
-	grace   Time // after a deadline, while an answer is still in time; half of it allows for late timer events
-	firesAt Time // of the timer set last
+	grace   Time // time after a deadline in which an answer counts; half of it is left for late timer events
+	firesAt Time // time at which the timer that was set last fires
 }
 
 // check returns the unanswered containers whose deadline has passed, ordered by ID. The scheduler answers them itself,
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -10,20 +10,20 @@
 // The components are:
 //
 //	component             job                                                     file
-//	machineRegistry       which machines there are, and what the list says        machineregistry.go, machine.go
-//	containerRegistry     containers, services and what they reserve              containerregistry.go, container.go
+//	machineRegistry       machines and their entries in the machine list          machineregistry.go, machine.go
+//	containerRegistry     containers, services and their reservations             containerregistry.go, container.go
 //	tenantQuotas          cores reserved for each tenant                          tenantquotas.go
 //	eligibility           filters before the draw                                 eligibility.go
 //	maxCapDraw            the draw (Max-Cap, docs/design.md)                      draw.go, capacity.go
 //	outlierDetector       ejects machines that fail                               outlierdetection.go
 //	prober                probes ejected and silent machines                      probing.go
 //	classFailureDetector  finds machines that fail one workload class or tenant   trafficclass.go
-//	outcomeRecorder       takes outcomes of attempts as evidence                  outcomes.go, selfdraining.go
-//	slowStartLimiter      limits what is sent to machines that started lately     slowstart.go, sendledger.go
+//	outcomeRecorder       records outcomes of attempts as evidence                outcomes.go, selfdraining.go
+//	slowStartLimiter      limits the sends to recently started machines           slowstart.go, sendledger.go
 //	loadShedder           rejects requests of low priority                        shedding.go
-//	listPoller            when the machine list is polled                         listpoller.go
-//	deadlineTimer         answers what has no outcome at its deadline             deadlines.go
-//	explainer             says why a request finds no machine                     explain.go
+//	listPoller            decides when the machine list is polled                 listpoller.go
+//	deadlineTimer         answers requests without an outcome at their deadline   deadlines.go
+//	explainer             reports why a request finds no machine                  explain.go
 //
 // The coordinator itself is in scheduler.go (events and maintenance) and attempts.go (containers from the request to
 // the outcome). snapshot.go saves the learned state for a later incarnation.
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -10,8 +10,8 @@
 // few starts are late.
 const concentrationExponent = 4
 
-// suspicionLevel ranks machines: a container is placed on one of those with the lowest level present. Suspected
-// machines are thus a fallback: if all are suspected, the cause is probably this scheduler's own connection or machine
+// suspicionLevel ranks machines: a container is placed on one of the machines with the lowest level. Suspected machines
+// are thus a fallback: if all machines are suspected, the cause is probably this scheduler's own connection or machine
 // list.
 type suspicionLevel uint8
 
@@ -61,9 +61,9 @@
 	classes := d.classes.classesOf(c)
 	best := candidate{level: noCandidate, variate: math.Inf(1)}
 	for _, m := range machines {
-		boundDecides := best.level == notSuspected && !d.slowStart.inSlowStart(m, now)
-		if boundDecides && d.variate(c, m, bucket, now).exceeds(best.variate) {
-			continue // it cannot replace the best, whether it is suspected or eligible or not
+		onlyVariateMatters := best.level == notSuspected && !d.slowStart.inSlowStart(m, now)
+		if onlyVariateMatters && d.variate(c, m, bucket, now).exceeds(best.variate) {
+			continue // the machine cannot replace the best one, even if it is eligible and not suspected
 		}
 		level := suspicionLevelOf(m, classes, d.classes, now)
 		if level > best.level || !d.eligibility.allows(c, m, now) {
@@ -95,8 +95,8 @@
 	return math.Pow(late, concentrationExponent) * max(0, 1-d.shedder.currentFullRatio(now)/sheddingThreshold)
 }
 
-// variate is an exponentially distributed number that is derived from a hash. Its rate is the machine's weight, so that
-// each machine has the least of all variates with odds proportional to its weight.
+// variate is an exponentially distributed number that is derived from a hash. Its rate is the machine's weight. The
+// machine with the least variate is drawn, so the odds of each machine are proportional to its weight.
 type variate struct{ uniform, rate float64 }
 
 // roundingMargin is much larger than the rounding errors of a variate's value, and too small to affect the speed-up.
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -87,7 +87,7 @@
 	}
 	submit(s, s.now, "x", "s")
 	for _, m := range s.machines.all() {
-		testutil.Expect(t, len(m.sends.sent) == 0 || m.sends.sent[0] >= s.now,
+		testutil.Expect(t, len(m.sends.sendTimes) == 0 || m.sends.sendTimes[0] >= s.now,
 			"the ledger of %s still has a send before its window", m.id)
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -52,7 +52,7 @@
 	IdempotencyKey  string      `cbor:"Key"` // the same for each retry by the client
 	Service         string      `cbor:"Service"`
 	WorkloadClass   int         `cbor:"Workload"` // index into Config.WorkloadClasses
-	Tenant          int         `cbor:"Customer"` // index into Config.Tenants; one out of range means no tenant
+	Tenant          int         `cbor:"Customer"` // index into Config.Tenants; an index out of range means no tenant
 	Cores           float64     `cbor:"Cores"`
 	Memory          float64     `cbor:"Memory"`
 	Deadline        Time        `cbor:"Due"`
--- a/scheduler/listpoller.go
+++ b/scheduler/listpoller.go
@@ -39,7 +39,7 @@
 	p.resetDelay()
 }
 
-// recordFailure plans another poll, because the watch may be lost too.
+// recordFailure plans another poll, because the watch may be lost too, and doubles the maximum delay.
 func (p *listPoller) recordFailure(now Time) {
 	p.schedule(now)
 	p.delay = min(2*p.delay, p.resyncInterval)
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -1,10 +1,10 @@
 package scheduler
 
-// machine is the state of one machine. Each field is written by one component only, which is named in its comment. The
-// other components read it through the methods of its type.
+// machine is the state of one machine. Each field is written by one component only, which the field's comment names.
+// The other components read the field through the methods of its type.
 type machine struct {
 	id         MachineID
-	hash       uint64        // of the ID
+	hash       uint64        // hash of the ID
 	listing    listing       // machineRegistry
 	load       machineLoad   // containerRegistry
 	exclusions int           // containerRegistry: number of containers that exclude the machine
@@ -58,7 +58,7 @@
 // knownRequested returns the larger of the requests in the machine list and this scheduler's own requests, as the list
 // may be out of date.
 func (m *machine) knownRequested() resources {
-	return m.listing.requested.atLeast(m.load.requested)
+	return m.listing.requested.elementwiseMax(m.load.requested)
 }
 
 // useBeyondRequests returns the use by this scheduler's containers minus all known requests. It may be negative.
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -11,8 +11,8 @@
 	actions     *actionBuffer
 }
 
-// recordAccepted records an acceptance. It is evidence for the container's machine, and against the machines where the
-// container failed before.
+// recordAccepted records an acceptance as a success of the machine. The acceptance also shows that earlier failures of
+// the container were caused by the machines, so they count against those.
 func (r *outcomeRecorder) recordAccepted(c *container, now Time) {
 	c.machine.contact.recordContact(now)
 	r.attributeFailures(c, now)
@@ -64,8 +64,8 @@
 }
 
 // recordAnswered is called when a client is answered because no machine is left to try. If the container failed on one
-// machine only, the failure counts against that machine. If it failed on several, the container itself is assumed to be
-// faulty.
+// machine only, the failure counts against that machine. If the container failed on several machines, it is assumed to
+// be faulty itself.
 func (r *outcomeRecorder) recordAnswered(c *container, now Time) {
 	if c.failedOnce() {
 		r.attributeFailures(c, now)
--- a/scheduler/outlierdetection.go
+++ b/scheduler/outlierdetection.go
@@ -3,13 +3,13 @@
 import "math"
 
 // Outlier detection is a sequential test (Wald) between two hypotheses: the machine is an outlier, or it is healthy.
-// They differ in the failure rate of its attempts. Each outcome changes the log odds between them.
+// The hypotheses differ in the failure rate of attempts on the machine. Each outcome changes the log odds between them.
 const (
 	outlierFailureRate = 0.6                   // share of the attempts on an outlier that fail
 	healthyFailureRate = 0.05                  // share of the attempts on a healthy machine that fail
 	ejectionThreshold  = 4.6                   // odds of 99 to 1; two failures in a row reach it
-	maxLogOdds         = 2 * ejectionThreshold // a bound, so that later successes still have an effect
-	readmissionMargin  = 1                     // below the threshold: one more failure ejects again
+	maxLogOdds         = 2 * ejectionThreshold // upper bound, so that later successes still have an effect
+	readmissionMargin  = 1                     // distance below the threshold: one more failure ejects again
 
 	baseEjectionTime = 2 * Second // doubles with each ejection until the log odds are back at 0
 	maxEjectionTime  = 8 * Second
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -16,8 +16,8 @@
 // unitInterval maps an output word of the generator to a number in [0, 1).
 func unitInterval(word uint64) float64 { return float64(word>>11) / (1 << 53) }
 
-// jitter returns a random delay of up to the span and a millisecond. Schedulers that start or fail at the same time use
-// it so as not to act at the same time.
+// jitter returns a random delay from one millisecond to the span plus one millisecond. The delay keeps schedulers that
+// start or fail at the same time from acting at the same time.
 func (g *pcg) jitter(span Time) Time {
 	return Millisecond + Time(float64(span)*g.uniform())
 }
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -13,8 +13,8 @@
 	r.memory -= o.memory
 }
 
-// atLeast returns the larger value of each resource.
-func (r resources) atLeast(o resources) resources {
+// elementwiseMax returns the larger value of each resource.
+func (r resources) elementwiseMax(o resources) resources {
 	return resources{cores: max(r.cores, o.cores), memory: max(r.memory, o.memory)}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -32,9 +32,9 @@
 	deadlines  *deadlineTimer
 	explainer  *explainer
 
-	now           Time         // time of the current or last batch
-	unplaced      []*container // placed at the end of the current batch
-	deadlineCheck bool         // whether a timer fired in the current batch
+	now              Time         // time of the current or last batch
+	unplaced         []*container // placed at the end of the current batch
+	deadlineCheckDue bool         // a timer fired in the current batch
 }
 
 // New returns a scheduler without machines.
@@ -97,7 +97,7 @@
 		s.apply(e)
 	}
 	s.placeAll()
-	if s.deadlineCheck {
+	if s.deadlineCheckDue {
 		s.checkDeadlines()
 	}
 	return s.actions.batchActions()
@@ -108,7 +108,7 @@
 	s.actions.reset()
 	clear(s.unplaced)
 	s.unplaced = s.unplaced[:0]
-	s.deadlineCheck = false
+	s.deadlineCheckDue = false
 }
 
 func (s *Scheduler) apply(e Event) {
@@ -171,10 +171,10 @@
 	if e.Name == maintenanceTimerName {
 		s.maintain()
 	}
-	s.deadlineCheck = true
+	s.deadlineCheckDue = true
 }
 
-// maintain evicts machines, polls the machine list and sends probes, each if due.
+// maintain evicts machines that are gone, polls the machine list if a poll is due, and sends the probes that are due.
 func (s *Scheduler) maintain() {
 	s.actions.emit(SetTimer{After: maintenanceInterval, Name: maintenanceTimerName})
 	s.machines.evictGone(s.now)
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -16,15 +16,15 @@
 	quotas          *tenantQuotas
 	random          *pcg
 	fullRatio       float64 // moving share of attempts that found their machine full
-	rejectedWeight  float64 // moving average of priority weights, with 0 for each accepted attempt
-	recordedAt      Time    // time of the last attempt in these two
+	rejectedWeight  float64 // moving average over attempts: priority weight if the machine was full, 0 if accepted
+	recordedAt      Time    // time of the last attempt recorded in fullRatio and rejectedWeight
 }
 
 // isShedding reports whether so many attempts find their machine full that requests may be shed.
 func (s *loadShedder) isShedding(now Time) bool { return s.currentFullRatio(now) > sheddingThreshold }
 
 // shouldShed decides at random whether to reject a container in favor of others. The probability grows with the share
-// of attempts on full machines, and with the distance of the container's priority below the mean priority of those
+// of attempts on full machines. It also grows as the container's priority falls below the mean priority of those
 // attempts.
 func (s *loadShedder) shouldShed(c *container, now Time) bool {
 	if !s.isShedding(now) {
@@ -61,7 +61,8 @@
 	s.rejectedWeight += (s.priorityWeight(c) - s.rejectedWeight) / averagingSpan
 }
 
-// resetIfOutdated resets the ratios if the last attempt is too long ago, and records the time of a new attempt.
+// resetIfOutdated resets fullRatio and rejectedWeight if the last attempt is too long ago. It also records the time of
+// a new attempt.
 func (s *loadShedder) resetIfOutdated(now Time) {
 	if s.isOutdated(now) {
 		s.fullRatio = 0
@@ -86,7 +87,7 @@
 	snapshot.RejectedWeight = s.rejectedWeight
 }
 
-// restore restores the ratios of an earlier incarnation as if its last attempt had been made now.
+// restore restores fullRatio and rejectedWeight of an earlier incarnation as if its last attempt had been made now.
 func (s *loadShedder) restore(snapshot Snapshot, now Time) {
 	s.fullRatio = snapshot.FullRatio
 	s.rejectedWeight = snapshot.RejectedWeight
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -17,7 +17,7 @@
 	budget          int // sends to a machine in each window, by all schedulers
 	schedulerIndex  int
 	schedulerCount  int
-	sendsKnownSince Time // all sends since then are in the ledgers
+	sendsKnownSince Time // all sends since this time are in the ledgers
 }
 
 func newSlowStartLimiter(config *Config) *slowStartLimiter {
@@ -34,7 +34,7 @@
 // hasStarted reports whether start was called.
 func (l *slowStartLimiter) hasStarted() bool { return l.sendsKnownSince >= 0 }
 
-// start sets the time from which on all sends are known: that of the first batch, or a restored one.
+// start sets the time from which on all sends are known: the time of the first batch, or a restored time.
 func (l *slowStartLimiter) start(sendsKnownSince Time) { l.sendsKnownSince = sendsKnownSince }
 
 func (l *slowStartLimiter) saveTo(snapshot *Snapshot) { snapshot.SendsKnownSince = l.sendsKnownSince }
@@ -44,8 +44,8 @@
 	return startedAt > 0 && now < startedAt+l.period
 }
 
-// schedulerShare returns the fraction of the schedulers that have a quota for the machine. These draw it with higher
-// odds, so that over all schedulers it is drawn as often as any other machine.
+// schedulerShare returns the fraction of the schedulers that have a quota for the machine. These schedulers draw the
+// machine with higher odds, so that all schedulers together draw it as often as any other machine.
 func (l *slowStartLimiter) schedulerShare(m *machine, now Time) float64 {
 	if l.budget >= l.schedulerCount || !l.inSlowStart(m, now) {
 		return 1
@@ -54,7 +54,7 @@
 }
 
 // allows reports whether this scheduler may send to the machine within its quota. For one window after sendsKnownSince
-// it may not, because the sends of an earlier incarnation of the scheduler are unknown.
+// it returns false, because the sends of an earlier incarnation of the scheduler are unknown.
 func (l *slowStartLimiter) allows(m *machine, now Time) bool {
 	if !l.inSlowStart(m, now) {
 		return true
@@ -63,13 +63,13 @@
 	return sendsKnown && len(l.recentSends(m, now)) < l.quota(m)
 }
 
-// quota returns this scheduler's part of the budget. The remainder of the division goes to schedulers that depend on
-// the machine's hash, so that all quotas add up to the budget.
+// quota returns this scheduler's part of the budget. The machine's hash decides which schedulers share the remainder of
+// the division, so that all quotas add up to the budget.
 func (l *slowStartLimiter) quota(m *machine) int {
 	count := max(1, l.schedulerCount)
 	quota := l.budget / count
-	turn := (l.schedulerIndex + int(m.hash%uint64(count))) % count
-	if turn < l.budget%count {
+	rank := (l.schedulerIndex + int(m.hash%uint64(count))) % count
+	if rank < l.budget%count {
 		quota++
 	}
 	return quota
@@ -89,6 +89,6 @@
 // transitTime is the longest time that a message is assumed to be in transit.
 func (l *slowStartLimiter) transitTime() Time { return l.window / transitDivisor }
 
-// slidingWindow is the window by send times. It is longer than the configured window, which counts by arrival times at
-// the machine.
+// slidingWindow is the length of the window in which sends are counted by send time. It is longer than the configured
+// window, which counts sends by their arrival time at the machine.
 func (l *slowStartLimiter) slidingWindow() Time { return l.window + l.transitTime() }
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -26,8 +26,9 @@
 }
 
 // Restore restores the snapshot of an earlier incarnation. It is called after the restored machine list is applied and
-// before the first request. State of another incarnation of a machine, or that does not match the configuration, is
-// ignored. The scheduler takes ownership of the snapshot's slices.
+// before the first request. It ignores the state of machines that have restarted or are not in the machine list, and
+// statistics of traffic classes that do not match the configuration. The scheduler takes ownership of the snapshot's
+// slices.
 func (s *Scheduler) Restore(snapshot Snapshot) {
 	if s.classes.fits(snapshot.TrafficClasses) {
 		s.classes.restore(snapshot.TrafficClasses)
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -9,8 +9,8 @@
 // A second sequential test finds machines that fail one traffic class (a workload class or a tenant) but serve others.
 // Its two hypotheses differ in the share of the class's attempts that a machine loses.
 const (
-	failingClassLossRate = 0.85        // share lost by a machine that fails the class
-	minLossRate          = 0.02        // least share assumed for other machines, even if peer classes lose nothing
+	failingClassLossRate = 0.85        // share of the class's attempts lost by a machine that fails it
+	minLossRate          = 0.02        // least share lost on other machines, even if peer classes lose nothing
 	evidenceDecay        = 20 * Second // time in which evidence falls to 1/e
 	minExcessLoss        = 0.01        // bounds of the prior, for classes that lose very few or almost all attempts
 	maxExcessLoss        = 0.9
@@ -51,8 +51,9 @@
 }
 
 // classFailureDetector finds machines that fail a traffic class. A scheduler sees few attempts of a class on one
-// machine, so the threshold of a class is a prior from the whole fleet: the more its loss exceeds that of its peer
-// classes, the fewer losses are needed. If all classes lose alike, a loss says little and the threshold stays high.
+// machine, so the threshold of a class is a prior from the whole fleet. The more the class's loss ratio exceeds the
+// mean of its peer classes, the fewer losses are needed. If all classes lose alike, a loss says little and the
+// threshold stays high.
 type classFailureDetector struct {
 	workloadClasses int
 	tenants         int
