--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -23,13 +23,13 @@
 	OpenRequestsPerClient int
 }
 
-// Controller admits clients and requests within limits. It drops a client when it disconnects, and a request when it is
-// closed.
+// Controller admits clients and requests within limits. It drops a client when the client disconnects, and a request
+// when the request is closed.
 type Controller struct {
 	limits       Limits
 	limiter      *overload.Limiter // nil if load is not shed
 	openRequests int
-	openByClient map[ClientID]int // of the connected clients
+	openByClient map[ClientID]int // open requests of each connected client
 }
 
 // New returns a controller. If workload classes are given, it also sheds load when containers become slow to start; the
@@ -60,7 +60,7 @@
 	return connected
 }
 
-// CheckLimits returns a *RejectionError if a further request of a client would exceed a limit.
+// CheckLimits returns a *RejectionError if another request of the client would exceed a limit.
 func (c *Controller) CheckLimits(client ClientID) error {
 	if c.openRequests >= c.limits.OpenRequests {
 		return limitReached(LimitOpenRequests, c.openRequests)
--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -13,17 +13,17 @@
 // attempt is one try to place a container on a machine.
 type attempt struct {
 	number      uint64
-	incarnation uint64 // of the scheduler that started it
+	incarnation uint64 // incarnation of the scheduler that started the attempt
 	ordinal     int    // index among the attempts of its container, from 0
 	container   *container
 	machine     *machine
 	state       attemptState
-	inLog       bool // the log holds a record of it, which is removed when it ends
+	inLog       bool // the log holds a record of the attempt, which is removed when the attempt ends
 	decidedAt   eventloop.Tick
 	deadline    eventloop.Tick
-	timer       *eventloop.Timer // for the deadline; nil once accepted or timed out
+	timer       *eventloop.Timer // fires at the deadline; nil once the attempt is accepted or timed out
 
-	machineIncarnation uint64 // when the attempt was decided
+	machineIncarnation uint64 // incarnation of the machine when the attempt was decided
 	adoptionsBefore    int    // number of adoptions when the attempt was decided
 }
 
@@ -41,7 +41,7 @@
 }
 
 // stale reports whether the decision behind a queued attempt is out of date: the machine drains, is gone or has
-// restarted, or more containers of the service were adopted since.
+// restarted, or more containers of the service were adopted since the decision.
 func (a *attempt) stale() bool {
 	return a.machine.unavailableSince(a.machineIncarnation) ||
 		a.machine.adoptedSince(a.request().Service, a.adoptionsBefore)
--- a/internal/schedulerd/attemptstate.go
+++ b/internal/schedulerd/attemptstate.go
@@ -7,7 +7,7 @@
 
 // States of an attempt.
 const (
-	attemptQueued      attemptState = "queued"       // not sent, as the connection is not ready
+	attemptQueued      attemptState = "queued"       // not sent, because the connection is not ready
 	attemptAwaitingLog attemptState = "awaiting log" // not sent before the log holds it
 	attemptOffered     attemptState = "offered"      // sent, not answered yet
 	attemptRunning     attemptState = "running"      // accepted: the container runs or will run
@@ -52,7 +52,7 @@
 		attemptOutcomeKnown:         attemptEnded,
 	},
 	attemptEnded: {
-		attemptLogged: attemptEnded, // it has ended while waiting for the log
+		attemptLogged: attemptEnded, // the attempt ended while it waited for the log
 	},
 }
 
--- a/internal/schedulerd/clients.go
+++ b/internal/schedulerd/clients.go
@@ -17,7 +17,7 @@
 	routes      *routeAnnouncer
 	byID        map[reconcile.ClientID]*clientConn
 	lastID      reconcile.ClientID
-	submittedAt map[scheduler.ContainerID]time.Duration // requests of this iteration only
+	submittedAt map[scheduler.ContainerID]time.Duration // submission times of the requests of this iteration
 }
 
 // accept returns the handler of a new connection and the limit of its pending output in bytes.
@@ -67,5 +67,5 @@
 	return r.submittedAt[id]
 }
 
-// clearSubmissions discards the submission times of an iteration, whose requests are all admitted or rejected.
+// clearSubmissions discards the submission times once all requests of the iteration are admitted or rejected.
 func (r *clientRegistry) clearSubmissions() { clear(r.submittedAt) }
--- a/internal/schedulerd/clientstate.go
+++ b/internal/schedulerd/clientstate.go
@@ -39,7 +39,7 @@
 		clientConnClosed:    clientClosed,
 	},
 	clientClosing: {
-		clientHelloReceived: clientClosing, // in data that was read before
+		clientHelloReceived: clientClosing, // the hello was in data that was read before
 		clientConnClosed:    clientClosed,
 	},
 	clientClosed: {
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -21,9 +21,9 @@
 	dedupWindow       protocol.Duration
 	client            *clientConn // nil after an adoption, until a client requests it again
 	clientContainerID string      // container ID in the last request of the client
-	answered          bool        // the client has its final answer, or expects none
-	attempts          int         // started so far
-	attempt           *attempt    // pending or accepted; nil if there is none
+	answered          bool        // the client has its final answer, or waits for none
+	attempts          int         // number of attempts started so far
+	attempt           *attempt    // the pending or accepted attempt; nil if there is none
 	submittedAt       time.Duration
 }
 
@@ -36,7 +36,7 @@
 
 func (c *container) endAttempt() { c.attempt = nil }
 
-// currentAttempt returns the pending or accepted attempt; nil if there is none.
+// currentAttempt returns the pending or accepted attempt, or nil if there is none.
 func (c *container) currentAttempt() *attempt { return c.attempt }
 
 func (c *container) attemptCount() int { return c.attempts }
--- a/internal/schedulerd/containers.go
+++ b/internal/schedulerd/containers.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// terminate ends a container that a client has cancelled. The termination is sent to the client that cancels, even if
+// terminate ends a container that a client has cancelled. The client that cancels receives the termination, even if
 // another client requested the container.
 func (r *containerRegistry) terminate(action reconcile.TerminateContainer) {
 	c, client := r.byID[action.ID], r.clients.find(action.Client)
@@ -128,8 +128,8 @@
 	r.remove(c)
 }
 
-// answerCancelled answers the client that cancels. If the request had another container ID, it is answered under that
-// ID as well.
+// answerCancelled answers the client that cancels. If the placement request had another container ID than the cancel,
+// the placement request is answered under its own ID as well.
 func (r *containerRegistry) answerCancelled(c *container, client *clientConn, requestedID string) {
 	r.stats.countAnswer(protocol.VerdictFailed)
 	cancelled := func(id string) *protocol.PlacementReply {
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -70,8 +70,8 @@
 	return a
 }
 
-// persist logs what must be known of an attempt after a crash. An attempt with anything to log is not sent until the
-// log holds it.
+// persist logs the records of an attempt that are needed after a crash. An attempt with such records is not sent until
+// the log holds them.
 func (d *attemptDispatcher) persist(a *attempt) {
 	write, sync := recovery.MustPersist(d.idempotency(a.request().WorkloadClass))
 	if write {
@@ -131,7 +131,7 @@
 	}
 }
 
-// endUnreached ends an attempt that was not sent in time. It counts as a failure of the machine only if the attempt
+// endUnreached ends an attempt that was not sent in time. This counts as a failure of the machine only if the attempt
 // waited for the connection. If the connection is ready, the attempt waited for the log.
 func (d *attemptDispatcher) endUnreached(a *attempt) {
 	if a.awaitsLog() || a.machine.ready() {
@@ -219,8 +219,8 @@
 	a.machine.cancel(a.incarnation, a.number)
 }
 
-// reportOutcomeUnknown passes an attempt to the reconciler that has ended here but may run on the machine. The
-// reconciler decides when its record is removed from the log.
+// reportOutcomeUnknown reports to the reconciler that an attempt has ended here but may run on the machine. The
+// reconciler decides when the record of the attempt is removed from the log.
 func (d *attemptDispatcher) reportOutcomeUnknown(a *attempt) {
 	d.decisions.notifyReconciler(reconcile.AttemptOutcomeUnknown{Attempt: a.record()})
 	a.inLog = false
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -12,7 +12,7 @@
 	if age, received := i.discovery.SinceLastFrame(); received {
 		reply.ListAge = protocol.Duration(age)
 	}
-	found, ok := i.decisions.explain(scheduler.PlacementRequest{
+	explanation, ok := i.decisions.explain(scheduler.PlacementRequest{
 		IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service,
 		WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant, Cores: f.Spec.Cores, Memory: f.Spec.Memory,
 	})
@@ -20,20 +20,20 @@
 		return reply
 	}
 	reply.Known = true
-	reply.Machines = found.Machines
-	reply.Gone = found.Gone
-	reply.WrongMachineType = found.WrongMachineType
-	reply.Draining = found.Draining
-	reply.TooSmall = found.TooSmall
-	reply.SelfDraining = found.SelfDraining
-	reply.SpreadExhausted = found.SpreadExhausted
-	reply.SlowStartExhausted = found.SlowStartExhausted
-	reply.Ejected = found.Ejected
-	reply.Suspected = found.Suspected
-	reply.InsufficientCores = found.InsufficientCores
-	reply.InsufficientMemory = found.InsufficientMemory
-	reply.Eligible = found.Eligible
-	reply.SheddingLoad = found.SheddingLoad
-	reply.FullRatio = found.FullRatio
+	reply.Machines = explanation.Machines
+	reply.Gone = explanation.Gone
+	reply.WrongMachineType = explanation.WrongMachineType
+	reply.Draining = explanation.Draining
+	reply.TooSmall = explanation.TooSmall
+	reply.SelfDraining = explanation.SelfDraining
+	reply.SpreadExhausted = explanation.SpreadExhausted
+	reply.SlowStartExhausted = explanation.SlowStartExhausted
+	reply.Ejected = explanation.Ejected
+	reply.Suspected = explanation.Suspected
+	reply.InsufficientCores = explanation.InsufficientCores
+	reply.InsufficientMemory = explanation.InsufficientMemory
+	reply.Eligible = explanation.Eligible
+	reply.SheddingLoad = explanation.SheddingLoad
+	reply.FullRatio = explanation.FullRatio
 	return reply
 }
--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -21,26 +21,26 @@
 const incarnationKey = "this"
 
 // journal collects changes of the log. All changes of one loop iteration form one commit. Callbacks run once the commit
-// is written, or once it is synced to disk if one of them requires that.
+// is written. If one of the callbacks requires a sync, all run once the commit is synced to disk.
 type journal struct {
 	*process
 	wal            *wal.Log // nil until openLog
 	history        warmstart.LogHistory
-	historyPending bool // the log does not hold the current history yet
+	historyPending bool // the log does not hold the present value of history yet
 
-	changes       []wal.Change // in this iteration
+	changes       []wal.Change // changes of this iteration
 	callbacks     []func(error)
 	syncNeeded    bool
-	failedDeletes []wal.Change // failed to be written; retried with the next snapshot
+	failedDeletes []wal.Change // deletes that could not be written; retried with the next snapshot
 }
 
-// openLog opens the log in a folder.
-func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
-	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
+// openLog opens the log in a folder, and returns the statistics of the records found there.
+func (j *journal) openLog(dir vfs.FS) (stats wal.Stats, err error) {
+	j.wal, stats, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
 	if err != nil {
-		return found, fmt.Errorf("open log: %w", err)
+		return stats, fmt.Errorf("open log: %w", err)
 	}
-	return found, nil
+	return stats, nil
 }
 
 // logModeChange is called on the goroutine of the log.
@@ -142,7 +142,7 @@
 	return wal.Put(IncarnationKind, incarnationKey, j.history)
 }
 
-// markLogComplete logs that all attempts of earlier incarnations are known, as all machines have reported.
+// markLogComplete logs that all attempts of earlier incarnations are known, because all machines have reported.
 func (j *journal) markLogComplete() {
 	j.history = j.history.WithCompleteLog()
 	j.changes = append(j.changes, j.historyChange())
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -10,20 +10,20 @@
 // machine is a machine of the list, with its connection, attempts and probes.
 type machine struct {
 	machineListing
-	registry *machineRegistry
-	id       scheduler.MachineID
-	conn     machineConn
-	queue    attemptQueue
-	attempts map[uint64]*attempt // sent or running, by number
-	expired  expiredAttempts
-	probes   probeTable
+	registry        *machineRegistry
+	id              scheduler.MachineID
+	conn            machineConn
+	queue           attemptQueue
+	attempts        map[uint64]*attempt // sent or running, by number
+	expiredAttempts expiredAttempts
+	probes          probeTable
 }
 
 func newMachine(r *machineRegistry, id scheduler.MachineID) *machine {
 	m := &machine{registry: r, id: id, attempts: map[uint64]*attempt{}}
 	m.conn = machineConn{machine: m, state: machineDisconnected}
 	m.queue = attemptQueue{adoptions: &r.dispatcher.adoptions}
-	m.expired = expiredAttempts{machine: m, requests: map[uint64]scheduler.PlacementRequest{}}
+	m.expiredAttempts = expiredAttempts{machine: m, requests: map[uint64]scheduler.PlacementRequest{}}
 	m.probes = probeTable{machine: m, pending: map[uint64]*pendingProbe{}}
 	return m
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// removeIfGone removes a machine that has left the list and is idle.
+// removeIfGone removes the machine if it has left the list and is idle.
 func (m *machine) removeIfGone() {
 	if !m.isGone() || !m.idle() {
 		return
@@ -75,25 +75,26 @@
 // dequeue removes an attempt from the queue, and reports whether it was queued.
 func (m *machine) dequeue(a *attempt) bool { return m.queue.remove(a) }
 
-// adoptedSince reports whether containers of a service were adopted since the given adoption count.
+// adoptedSince reports whether containers of a service were adopted after the number of adoptions was count.
 func (m *machine) adoptedSince(service string, count int) bool {
 	return m.queue.adoptedSince(service, count)
 }
 
 // expire records an attempt that has ended here but may still be accepted by the machine.
-func (m *machine) expire(a *attempt) { m.expired.add(a) }
+func (m *machine) expire(a *attempt) { m.expiredAttempts.add(a) }
 
-// offer sends an attempt and reports whether it was sent. It is not sent to a machine that reads too slowly, nor after
-// its deadline. The machine counts the timeout from the receipt of the offer. The timeout is therefore computed from
-// the current time: the start of the iteration may be long past if the process was not scheduled meanwhile.
+// offer sends an attempt and reports whether it was sent. An attempt is sent neither to a machine that reads too slowly
+// nor after the deadline. The machine counts the timeout from the receipt of the offer. The timeout is therefore
+// computed from the current time: the start of the iteration may be long past if the process was not scheduled
+// meanwhile.
 func (m *machine) offer(a *attempt) bool {
-	left := a.deadline - m.registry.loop.ReadClock()
-	if left <= 0 {
+	timeLeft := a.deadline - m.registry.loop.ReadClock()
+	if timeLeft <= 0 {
 		return false
 	}
 	offer := &protocol.Offer{
 		AttemptID: a.number,
-		Timeout:   protocol.Duration(left),
+		Timeout:   protocol.Duration(timeLeft),
 		Spec:      a.container.spec(),
 	}
 	if !m.conn.trySend(offer) {
@@ -154,7 +155,7 @@
 	m.failQueuedAttempts(loss)
 	m.failPendingAttempts()
 	m.probes.failAll(loss)
-	m.expired.clear() // the next inventory lists the running ones
+	m.expiredAttempts.clear() // the next inventory lists the attempts that run
 	if loss == lossAfterInventory {
 		m.registry.decisions.notifyReconciler(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -71,7 +71,7 @@
 	a := m.attempts[f.AttemptID]
 	switch {
 	case a == nil:
-		m.expired.handleAccept(f.AttemptID)
+		m.expiredAttempts.handleAccept(f.AttemptID)
 	case !a.accepted():
 		m.registry.dispatcher.accept(a)
 	case f.Running: // already accepted
@@ -82,7 +82,7 @@
 func (m *machine) handleResult(f *protocol.Result) {
 	a := m.attempts[f.AttemptID]
 	if a == nil {
-		m.expired.handleResult(f.AttemptID)
+		m.expiredAttempts.handleResult(f.AttemptID)
 		return
 	}
 	outcome := f.Outcome.SchedulerOutcome()
--- a/internal/schedulerd/machinelisting.go
+++ b/internal/schedulerd/machinelisting.go
@@ -22,7 +22,7 @@
 
 func (l *machineListing) isDraining() bool { return l.draining }
 
-// machineStart returns the incarnation for which slow-start sends are counted.
+// machineStart returns the incarnation and start time for which slow-start sends are counted.
 func (l *machineListing) machineStart() warmstart.MachineStart {
 	return warmstart.MachineStart{Incarnation: l.incarnation, StartedAt: l.startedAt}
 }
@@ -39,8 +39,8 @@
 	return l.draining != before
 }
 
-// applyAddress applies an address from the list, and reports whether it has changed.
-func (l *machineListing) applyAddress(address string) (moved bool) {
+// applyAddress applies an address from the list, and reports whether the address has changed.
+func (l *machineListing) applyAddress(address string) (changed bool) {
 	if address == "" || address == l.address {
 		return false
 	}
@@ -64,7 +64,7 @@
 }
 
 // applySelfReport applies the incarnation from the machine's hello if it is newer than the known one, and reports
-// whether it is.
+// whether it was newer.
 func (l *machineListing) applySelfReport(incarnation uint64, now scheduler.Time) (newer bool) {
 	if incarnation <= l.incarnation {
 		return false
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -21,7 +21,7 @@
 
 	byID         map[scheduler.MachineID]*machine
 	list         machineListCache
-	newlyReady   []*machine // sent their inventory in this iteration
+	newlyReady   []*machine // machines that sent their inventory in this iteration
 	lastProbeSeq uint64
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// machineStart returns the incarnation of a machine for which slow-start sends are counted.
+// machineStart returns the incarnation and start time of a machine for which slow-start sends are counted.
 func (r *machineRegistry) machineStart(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
 	m := r.byID[id]
 	if m == nil {
--- a/internal/schedulerd/overload/events.go
+++ b/internal/schedulerd/overload/events.go
@@ -2,12 +2,12 @@
 
 import "glenport/scheduler"
 
-// Event is an input of a Limiter: something that happened to a request.
+// Event is an input of a Limiter: a request was received, started or failed.
 type Event interface{ event() }
 
 // RequestReceived is a new placement request. Handle answers it with Admit or Shed.
 type RequestReceived struct {
-	Client        string // whose share of all requests is tracked
+	Client        string // name under which the requests of the client are counted
 	WorkloadClass int    // index into Config.WorkloadClasses
 	ClientRetry   bool   // the client has sent the request before
 }
@@ -15,7 +15,7 @@
 // RequestStarted is an admitted request whose container runs.
 type RequestStarted struct {
 	WorkloadClass int
-	Elapsed       scheduler.Time // since the request was admitted
+	Elapsed       scheduler.Time // time from the admission to the start
 }
 
 // RequestFailed is an admitted request that ended without a running container.
@@ -41,14 +41,14 @@
 type SheddingStarted struct {
 	Reason     Reason
 	Open       int     // admitted requests without an answer
-	Limit      float64 // of open requests
+	Limit      float64 // maximum number of open requests
 	Throughput float64 // containers started per second
 }
 
 // SheddingEnded reports that no request has been shed for some seconds.
 type SheddingEnded struct {
-	Shed  int // requests shed since the overload started
-	Limit float64
+	Shed  int     // requests shed since the overload started
+	Limit float64 // maximum number of open requests
 }
 
 func (Admit) action()           {}
--- a/internal/schedulerd/overload/heavyhitters.go
+++ b/internal/schedulerd/overload/heavyhitters.go
@@ -8,7 +8,7 @@
 
 const (
 	countDecayTime = 10 * scheduler.Second // time in which counts fall to 1/e
-	maxCountAge    = 20 * countDecayTime   // after which counts are rescaled, before their unit overflows a float64
+	maxCountAge    = 20 * countDecayTime   // time after which counts are rescaled, so that their unit cannot overflow
 )
 
 // HeavyHitters counts requests by client in a fixed number of counters (the space-saving algorithm). A client without a
@@ -19,7 +19,7 @@
 	index       map[string]int // position in the heap
 	heap        []counter      // a binary heap, the smallest count first
 	total       float64
-	baseTime    scheduler.Time // a request counts 1 then and more later, so old counts decay at no cost
+	baseTime    scheduler.Time // a request counts 1 at this time and more later, so old counts decay at no cost
 }
 
 type counter struct {
@@ -44,11 +44,11 @@
 	if h.total < heavyHitterMinRequests*unit || len(h.heap) < 2 {
 		return 0
 	}
-	others := (h.total - count) / float64(len(h.heap)-1)
-	if others <= 0 {
+	meanOfOthers := (h.total - count) / float64(len(h.heap)-1)
+	if meanOfOthers <= 0 {
 		return 0
 	}
-	return count / others
+	return count / meanOfOthers
 }
 
 // Len returns the number of counters in use.
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -15,14 +15,14 @@
 	minThroughputFactor      = 1.0
 	limitDecrease            = 0.85                        // factor on the limit while a class is slow
 	limitIncrease            = 1.05                        // factor on the limit while no class is slow
-	limitUpdateInterval      = 200 * scheduler.Millisecond // minimum time between two changes of the limit
+	limitUpdateInterval      = 200 * scheduler.Millisecond // minimum time between changes of the limit
 	minLimit                 = 8                           // lower bound of the limit, in open requests
 	minLimitShare            = 0.5                         // fraction of the limit open to a class of priority weight 0
 	retryBudgetRatio         = 0.2                         // retry tokens earned by each first-time request
 	maxRetryTokens           = 50                          // retry tokens that can accumulate
-	overloadEndsAfter        = 5 * scheduler.Second        // without a shed request
+	overloadEndsAfter        = 5 * scheduler.Second        // time without a shed request
 	minRetryAfter            = 200 * scheduler.Millisecond
-	maxRetryAfter            = 20 * scheduler.Second // longer ones are replaced by a random one from the upper half
+	maxRetryAfter            = 20 * scheduler.Second // longer retry-afters are drawn from its upper half
 	throughputDecayTime      = 2 * scheduler.Second  // time in which the moving mean falls to 1/e
 	heavyHitterFactor        = 10                    // ratio to the mean of the other clients
 	heavyHitterMinRequests   = 20                    // counted requests below which no client is a heavy hitter
@@ -62,16 +62,16 @@
 	rngState       uint64
 	now            scheduler.Time
 	actions        []Action
-	open           int
-	limit          float64 // of open requests
+	open           int     // admitted requests without an answer
+	limit          float64 // maximum number of open requests
 	limitChangedAt scheduler.Time
 	latency        []latencyMean // by class
 	throughput     float64       // containers started per second, a moving mean
 	lastStartAt    scheduler.Time
 	retryTokens    float64
 	nextRetryAt    scheduler.Time // end of the queue of scheduled retries
-	shedCount      int            // since the overload started
-	shedAt         scheduler.Time
+	shedCount      int            // requests shed since the overload started
+	shedAt         scheduler.Time // time of the last shed request
 	overloaded     bool
 	limitShares    []float64 // by class: fraction of the limit open to it
 	clients        *HeavyHitters
@@ -144,8 +144,8 @@
 	return float64(l.rngState>>11) / (1 << 53)
 }
 
-// requestReceived admits or sheds a request. Heavy hitters and retries beyond the budget are shed only while limiting,
-// so that these two rules have no effect without overload.
+// requestReceived admits or sheds a request. Requests of heavy hitters and retries beyond the budget are shed only
+// while the limiter is limiting, so that these two rules have no effect without overload.
 func (l *Limiter) requestReceived(e RequestReceived) {
 	timesMean := l.clients.Record(l.now, e.Client)
 	if !e.ClientRetry {
@@ -167,7 +167,7 @@
 	}
 }
 
-// limitOf returns the limit for a class. The share of the class applies only while limiting.
+// limitOf returns the limit for a class. The share of the class applies only while the limiter is limiting.
 func (l *Limiter) limitOf(class int) float64 {
 	if class < len(l.limitShares) && l.limiting() {
 		return l.limit * l.limitShares[class]
@@ -199,8 +199,8 @@
 }
 
 // scheduleRetry takes the next slot in the queue of retries, which advances at a fraction of the throughput, and
-// returns the time to wait for it. If that exceeds maxRetryAfter, the client instead returns at a random time in the
-// upper half of maxRetryAfter and queues again.
+// returns the time until that slot. If this time exceeds maxRetryAfter, the client instead retries at a random time in
+// the upper half of maxRetryAfter and is then assigned a new slot or admitted.
 func (l *Limiter) scheduleRetry() scheduler.Time {
 	perSecond := max(1, l.throughput*scheduledThroughputShare)
 	l.nextRetryAt = max(l.nextRetryAt, l.now+minRetryAfter) + scheduler.Time(float64(scheduler.Second)/perSecond)
@@ -250,8 +250,8 @@
 }
 
 // adjustLimit decreases the limit while any class is slow, and increases it while more than half of it is used. By
-// Little's law, a limit of throughput times objective sustains the present throughput with starts on time; the limit
-// never falls below that.
+// Little's law, a limit of throughput times objective sustains the present throughput with starts on time. The limit
+// never falls below this product.
 func (l *Limiter) adjustLimit(objective scheduler.Time) {
 	switch {
 	case l.slow():
--- a/internal/schedulerd/overload/snapshot.go
+++ b/internal/schedulerd/overload/snapshot.go
@@ -4,7 +4,7 @@
 type Snapshot struct {
 	Limit      float64 `cbor:"Limit" json:"Limit"`
 	Throughput float64 `cbor:"Pace"  json:"Pace"` // containers started per second
-	// By workload class, as fractions of the latency objective; negative if no start was observed.
+	// Mean start latencies by workload class, as fractions of the latency objective; negative if no start was observed.
 	Latency         []float64 `cbor:"Slow" json:"Slow"`
 	BaselineLatency []float64 `cbor:"Calm" json:"Calm"`
 }
--- a/internal/schedulerd/partialframe.go
+++ b/internal/schedulerd/partialframe.go
@@ -2,7 +2,7 @@
 
 import "glenport/internal/eventloop"
 
-// partialFrame records since when a received frame is incomplete.
+// partialFrame records the time since which a received frame has been incomplete.
 type partialFrame struct{ since eventloop.Tick } // 0: no frame is incomplete
 
 // update applies the number of bytes that remain buffered after a read.
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -11,9 +11,9 @@
 // pendingProbe is a probe without an outcome yet.
 type pendingProbe struct {
 	seq         uint64
-	incarnation uint64 // of the machine when the probe was decided
+	incarnation uint64 // incarnation of the machine when the probe was decided
 	sent        bool
-	awaitingLog bool // not sent before the log holds this send to a machine in slow start
+	awaitingLog bool // not sent before the log holds the send, because the machine is in slow start
 	timer       *eventloop.Timer
 	requestedAt eventloop.Tick
 }
@@ -52,7 +52,7 @@
 }
 
 // send sends a probe if the connection is ready; otherwise it connects, and the probe is sent later. A probe that was
-// decided for another incarnation of the machine is not sent, as it is not charged to the current one.
+// decided for another incarnation of the machine is not sent, because the current one was not charged for it.
 func (t *probeTable) send(p *pendingProbe) {
 	switch {
 	case !t.machine.ready():
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -14,7 +14,7 @@
 
 func (q *attemptQueue) empty() bool { return len(q.attempts) == 0 }
 
-// list returns a copy, which does not change while attempts are removed.
+// list returns a copy of the queue, which does not change while attempts are removed.
 func (q *attemptQueue) list() []*attempt { return slices.Clone(q.attempts) }
 
 func (q *attemptQueue) add(a *attempt) {
@@ -41,7 +41,7 @@
 	return attempts
 }
 
-// adoptedSince reports whether containers of a service were adopted since the given adoption count.
+// adoptedSince reports whether containers of a service were adopted after the number of adoptions was count.
 func (q *attemptQueue) adoptedSince(service string, count int) bool {
 	return q.adoptions.Since(service, count)
 }
--- a/internal/schedulerd/reconcile/actions.go
+++ b/internal/schedulerd/reconcile/actions.go
@@ -32,8 +32,8 @@
 // AlreadyRunning answers a placement or lookup request with the container that runs under its idempotency key.
 type AlreadyRunning struct {
 	Client    ClientID
-	ID        scheduler.ContainerID // of the request
-	RunningID scheduler.ContainerID // of the running container
+	ID        scheduler.ContainerID // container ID in the request
+	RunningID scheduler.ContainerID // container ID of the running container
 	Machine   scheduler.MachineID
 }
 
@@ -59,7 +59,7 @@
 // CancelAttempt cancels an attempt on its machine, whether it runs or still waits there.
 type CancelAttempt struct {
 	Machine     scheduler.MachineID
-	Incarnation uint64 // of the scheduler
+	Incarnation uint64 // incarnation of the scheduler that sent the attempt
 	Attempt     uint64
 }
 
@@ -69,7 +69,7 @@
 // ContainerLost reports that a placed container no longer runs, or may no longer run.
 type ContainerLost struct {
 	ID        scheduler.ContainerID
-	Confirmed bool // by a report of the machine; otherwise the machine is only unreachable
+	Confirmed bool // a report of the machine confirms the loss; otherwise the machine is only unreachable
 }
 
 // ConnectMachine requests a connection to a machine.
@@ -81,7 +81,8 @@
 // AllMachinesReported is emitted once: when every listed machine has reported or has left the machine list.
 type AllMachinesReported struct{}
 
-// AttemptResolved reports that the outcome of an attempt is known or no longer matters. Its log record can be dropped.
+// AttemptResolved reports that the outcome of an attempt is known or no longer matters. The log record of the attempt
+// can be dropped.
 type AttemptResolved struct{ Attempt Attempt }
 
 // SetTimer requests a TimerFired event after a delay.
--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -14,25 +14,24 @@
 type container struct {
 	id            scheduler.ContainerID
 	key           string
-	client        ClientID // that sent its request; unset if the container was adopted
-	open          bool     // its request has no final answer yet
+	client        ClientID // client that sent the request; unset if the container was adopted
+	open          bool     // the request has no final answer yet
 	admittedAt    scheduler.Time
 	workloadClass int
-	machine       scheduler.MachineID // empty until it is placed
-	incarnation   uint64              // of the scheduler that placed it
-	attempt       uint64              // that placed it
-	terminating   bool                // its attempt was cancelled when it was adopted, and has not ended yet
-	lateAccept    *Attempt            // an attempt that runs though it was given up; nil once the container is placed
+	machine       scheduler.MachineID // empty until the container is placed
+	incarnation   uint64              // incarnation of the scheduler that placed the container
+	attempt       uint64              // number of the attempt that placed the container
+	terminating   bool                // adopted while its attempt was being cancelled; the attempt has not ended yet
+	lateAccept    *Attempt            // an attempt that runs although it was given up; nil once the container is placed
 }
 
 func (c *container) placed() bool { return c.machine != "" }
 
-// containerTable indexes containers. byID holds all of them, byKey the one that holds each idempotency key, onMachine
-// those that are placed.
+// containerTable indexes containers.
 type containerTable struct {
-	byID      map[scheduler.ContainerID]*container
-	byKey     map[string]*container
-	onMachine map[scheduler.MachineID]map[*container]bool
+	byID      map[scheduler.ContainerID]*container        // all containers
+	byKey     map[string]*container                       // the holder of each idempotency key
+	onMachine map[scheduler.MachineID]map[*container]bool // the placed containers
 }
 
 func newContainerTable() containerTable {
@@ -49,7 +48,7 @@
 	t.byKey[c.key] = c
 }
 
-// addAdopted adds a container. If another one holds its key already, that one stays the holder.
+// addAdopted adds an adopted container. If another container holds the key already, that container stays the holder.
 func (t *containerTable) addAdopted(c *container) {
 	t.byID[c.id] = c
 	if t.byKey[c.key] == nil {
@@ -134,14 +133,14 @@
 
 // lateAccept handles the acceptance of an attempt that was given up.
 func (r *Reconciler) lateAccept(a Attempt) {
-	r.track(recovery.AttemptNotRunning{Attempt: a}) // its outcome is now known
+	r.track(recovery.AttemptNotRunning{Attempt: a}) // the outcome of the attempt is now known
 	r.handleUnexpectedAttempt(a)
 }
 
-// handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. If it is idempotent,
-// it is cancelled: its container was placed elsewhere or its request was answered, so the copy would occupy room that
-// no client needs. If it must not run twice, it is adopted once the request of its container is closed, unless the
-// container has been placed by another attempt.
+// handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. An idempotent attempt
+// is cancelled: its container was placed elsewhere or its request was answered, so no client needs the copy. An attempt
+// that must not run twice is cancelled if another attempt has placed the container. Otherwise it is adopted once the
+// request of the container is closed.
 func (r *Reconciler) handleUnexpectedAttempt(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
 	switch {
@@ -159,8 +158,9 @@
 	}
 }
 
-// adopt adds the container of an attempt that was found on a machine, unless the container is known already. If another
-// container holds the key, the attempt is cancelled if the other one is placed or the attempt is idempotent.
+// adopt adds the container of an attempt that was found on a machine, unless the container is known already. The
+// attempt is cancelled instead if another container holds the key, and either that container is placed or the attempt
+// is idempotent.
 func (r *Reconciler) adopt(a Attempt) {
 	if a.Request.WorkloadClass >= len(r.idempotency) {
 		r.log("container of unknown workload class not adopted", slog.String("machine", string(a.Machine)),
--- a/internal/schedulerd/reconcile/errors.go
+++ b/internal/schedulerd/reconcile/errors.go
@@ -27,7 +27,7 @@
 const (
 	KeyTerminating          KeyState = iota + 1 // an earlier attempt is being cancelled
 	KeyPlacing                                  // the container is being placed
-	KeyPlacingOrTerminating                     // one of the two, not distinguished
+	KeyPlacingOrTerminating                     // either of these states: a lookup does not distinguish them
 )
 
 // KeyInUseError reports that the container that holds an idempotency key is being placed or terminated.
--- a/internal/schedulerd/reconcile/events.go
+++ b/internal/schedulerd/reconcile/events.go
@@ -12,7 +12,7 @@
 // Attempt is the placement of a container on a machine by one incarnation of the scheduler.
 type Attempt = recovery.Attempt
 
-// Event is an input of a Reconciler: something that happened to a client, a request, an attempt or a machine.
+// Event is an input of a Reconciler. It reports a change of a client, a request, an attempt or a machine.
 type Event interface{ event() }
 
 // ClientConnected reports a new client connection.
@@ -57,7 +57,7 @@
 // AttemptRestored reports an attempt of an earlier incarnation whose outcome is not in the log.
 type AttemptRestored struct{ Attempt Attempt }
 
-// AttemptOutcomeUnknown reports an attempt that was given up without knowing whether it runs.
+// AttemptOutcomeUnknown reports an attempt that was given up although it may run.
 type AttemptOutcomeUnknown struct{ Attempt Attempt }
 
 // AttemptNotRunning reports that a machine has later confirmed that an attempt does not run.
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -11,7 +11,8 @@
 type attemptID struct{ incarnation, number uint64 }
 
 // machineReported compares a machine's report with the known containers. Known containers that the report does not name
-// are lost. Unknown attempts in the report are of an earlier incarnation, or were given up by this one.
+// are lost. Unknown attempts in the report were made by an earlier incarnation of the scheduler, or were given up by
+// this one.
 func (r *Reconciler) machineReported(e MachineReported) {
 	completed := r.trackReport(e.Machine)
 	r.reconnects.end(e.Machine)
@@ -35,8 +36,8 @@
 }
 
 // trackReport passes a report to the recovery tracker, and returns whether the report completes recovery. The caller
-// emits RecoveryComplete only after it has adopted the containers of the report: BGP peers then drop the routes that
-// have not been announced.
+// emits RecoveryComplete only after it has adopted the containers of the report, because BGP peers then drop the routes
+// that have not been announced.
 func (r *Reconciler) trackReport(machine scheduler.MachineID) (completed bool) {
 	for _, a := range r.tracker.Handle(r.now, recovery.MachineReported{Machine: machine}) {
 		if _, ok := a.(recovery.Completed); ok {
@@ -61,8 +62,8 @@
 }
 
 // attemptReported handles one attempt of a report, and returns whether it is a running attempt of an earlier
-// incarnation that was adopted. An attempt that waits is cancelled, because no client would receive its answer; one of
-// an earlier incarnation is also adopted, so that it counts until it has ended.
+// incarnation that was adopted. An attempt that waits on the machine is cancelled, because no client would receive its
+// answer. If it was made by an earlier incarnation, it is also adopted, so that it counts until it has ended.
 func (r *Reconciler) attemptReported(machine scheduler.MachineID, a Attempt) (adopted bool) {
 	known := r.containers.byID[a.Request.ID]
 	switch {
@@ -119,8 +120,8 @@
 	r.track(recovery.MachineUnreachable{Machine: machine})
 }
 
-// runTimers emits the actions that are due and sets the timer for the next ones, unless it is already set to an earlier
-// time.
+// runTimers emits the actions that are due. It sets the timer for the next actions, unless the timer is already set to
+// an earlier time.
 func (r *Reconciler) runTimers() {
 	r.track(recovery.Tick{})
 	next := earliest(r.tracker.NextTimer(), r.reconnects.next(r.now))
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -12,23 +12,23 @@
 	Incarnation     uint64
 	Limits          admission.Limits
 	Idempotency     []scheduler.Idempotency  // by workload class
-	LogCoverage     recovery.LogCoverage     // of the attempts of earlier incarnations
+	LogCoverage     recovery.LogCoverage     // which attempts of earlier incarnations the log holds
 	OverloadClasses []overload.WorkloadClass // empty: load is not shed
 }
 
 // Reconciler reconciles the containers that run with the requests of clients, for one incarnation of the scheduler. It
-// drops a container when it is removed, a client when it disconnects, and a machine once it has reported, was
-// reconnected or has left the machine list.
+// keeps each container until the container is removed, each client until the client disconnects, and each machine until
+// the machine has reported, was reconnected or has left the machine list.
 type Reconciler struct {
 	incarnation uint64
 	idempotency []scheduler.Idempotency // by workload class
 	now         scheduler.Time
 	actions     []Action
 	admission   *admission.Controller
-	tracker     *recovery.Tracker // of attempts that may run without confirmation
+	tracker     *recovery.Tracker // tracks attempts that may run without confirmation
 	containers  containerTable
 	reconnects  reconnects
-	timerAt     scheduler.Time
+	timerAt     scheduler.Time // time at which the timer that was set last fires
 }
 
 // New returns a Reconciler without containers and clients.
--- a/internal/schedulerd/reconcile/reconnects.go
+++ b/internal/schedulerd/reconcile/reconnects.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// Limits of a reconnection. With these a dead machine is detected about a second after its death.
+// Limits of a reconnection. With these limits a dead machine is detected about a second after its death.
 const (
 	maxReconnectAttempts    = 3
 	initialReconnectBackoff = 200 * scheduler.Millisecond
@@ -16,8 +16,8 @@
 // reconnect is a broken connection to a machine on which containers run.
 type reconnect struct {
 	attempts int
-	waiting  bool           // for nextAt; false while an attempt is under way
-	nextAt   scheduler.Time // of the next attempt
+	waiting  bool           // the next attempt waits for nextAt; false while an attempt is under way
+	nextAt   scheduler.Time // time of the next attempt
 	backoff  scheduler.Time
 }
 
@@ -33,11 +33,11 @@
 	}
 }
 
-// end drops a machine that is connected, given up, or without containers.
+// end drops a machine that was reconnected or given up, or on which no containers run any longer.
 func (r reconnects) end(machine scheduler.MachineID) { delete(r, machine) }
 
-// retryWithoutCounting schedules a new attempt after one that was not made because this process had no file descriptors
-// left. That one does not count.
+// retryWithoutCounting schedules a new attempt after an attempt for which this process had no file descriptors left.
+// The failed attempt does not count.
 func (r reconnects) retryWithoutCounting(machine scheduler.MachineID, now scheduler.Time) {
 	if pending := r[machine]; pending != nil {
 		pending.attempts--
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// admit opens a request that conflicts with no known container, unless a limit is reached, a container may run under
-// its key, or load is shed.
+// admit opens a request that conflicts with no known container. It rejects the request if a limit is reached, if a
+// container may run under the key of the request, or if load is shed.
 func (r *Reconciler) admit(e PlacementRequested) {
 	if err := r.admission.CheckLimits(e.Client); err != nil {
 		r.rejectAdmission(e, err)
@@ -101,7 +101,7 @@
 }
 
 // cancelRequested terminates the container that an id or a key identifies. If no container is known under the key, the
-// answer depends on whether it is certain that none runs: a scheduler that has just started does not know that yet.
+// answer depends on whether it is certain that none runs. A scheduler that has just started does not know that yet.
 func (r *Reconciler) cancelRequested(e CancelRequested) {
 	if c := r.containers.find(e.ID, e.IdempotencyKey); c != nil {
 		r.cancelLateAccept(c) // otherwise it would be adopted once the container is removed, and keep running
@@ -118,8 +118,8 @@
 	r.emit(AlreadyTerminated{Client: e.Client, ID: e.ID})
 }
 
-// lookupRequested answers with the container that runs under a key, or that none does. While that is not certain, it
-// rejects the request.
+// lookupRequested answers with the container that runs under a key, or that no container runs under the key. It rejects
+// the request while this is not certain.
 func (r *Reconciler) lookupRequested(e LookupRequested) {
 	c := r.containers.byKey[e.IdempotencyKey]
 	if c != nil && c.placed() && !c.terminating {
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -13,11 +13,11 @@
 // WarmStartSnapshot is the state for the next incarnation that the log does not hold.
 type WarmStartSnapshot struct {
 	TakenAt         warmstart.Timestamp            `cbor:"At"`
-	ClassNames      []string                       `cbor:"Names"` // of process.classNames
+	ClassNames      []string                       `cbor:"Names"` // result of process.classNames
 	Learned         scheduler.Snapshot             `cbor:"Learned"`
-	Incarnations    map[scheduler.MachineID]uint64 `cbor:"Starts"`    // of the machines in Learned
-	ListVersion     int64                          `cbor:"ListIs"`    // of Entries
-	Entries         []entryRecord                  `cbor:"Entries"`   // the machine list, by machine
+	Incarnations    map[scheduler.MachineID]uint64 `cbor:"Starts"`    // incarnations of the machines in Learned
+	ListVersion     int64                          `cbor:"ListIs"`    // version of the list in Entries
+	Entries         []entryRecord                  `cbor:"Entries"`   // the machine list, ordered by machine
 	OrderlyShutdown bool                           `cbor:"AtAnOrder"` // taken at the shutdown of the server
 	Overload        *overload.Snapshot             `cbor:"Door"`      // nil if there is no concurrency limit
 }
--- a/internal/schedulerd/recovery/attempt.go
+++ b/internal/schedulerd/recovery/attempt.go
@@ -7,7 +7,7 @@
 type Attempt struct {
 	Request     scheduler.PlacementRequest `cbor:"Ask"`
 	Machine     scheduler.MachineID        `cbor:"Machine"`
-	Incarnation uint64                     `cbor:"Life"` // of the scheduler
+	Incarnation uint64                     `cbor:"Life"` // incarnation of the scheduler
 	Number      uint64                     `cbor:"Bid"`  // unique over all incarnations
 	Running     bool                       `cbor:"Running"`
 }
--- a/internal/schedulerd/recovery/check.go
+++ b/internal/schedulerd/recovery/check.go
@@ -21,9 +21,9 @@
 	return nil
 }
 
-// knowsEarlierAttempts reports whether all attempts of earlier incarnations that may run are known: because all
-// machines have reported, because the log holds them, or, without a log, because the report timeout has passed. A
-// synced log may lack attempts that are idempotent with a key; their retries wait for every machine.
+// knowsEarlierAttempts reports whether all attempts of earlier incarnations that may run are known. They are known if
+// all machines have reported, if the log holds them, or, without a log, if the report timeout has passed. A synced log
+// may lack attempts that are idempotent with a key. Retries of such attempts wait for the reports of all machines.
 func (t *Tracker) knowsEarlierAttempts(idempotency scheduler.Idempotency) bool {
 	switch {
 	case t.allReported():
@@ -33,13 +33,13 @@
 	case t.coverage == LogSynced:
 		return idempotency == scheduler.AtMostOnce
 	default:
-		return t.completed || t.timedOut()
+		return t.completedEmitted || t.timedOut()
 	}
 }
 
 // fromEarlierIncarnation reports whether an attempt is of an earlier incarnation. Only such an attempt blocks a
 // container that is idempotent with a key: the scheduler enforces the deduplication scope and window for attempts of
-// its own incarnation, but does not know when an earlier one was sent.
+// its own incarnation, but does not know when an attempt of an earlier incarnation was sent.
 func (t *Tracker) fromEarlierIncarnation(u unresolvedAttempt) bool { return u.since == t.startedAt }
 
 // CheckKey returns a *MayRunError or *RecoveringError if it is not known whether a container runs under a key.
@@ -47,7 +47,7 @@
 	if attempts := t.unresolved[key]; len(attempts) > 0 {
 		return &MayRunError{Key: key, Machine: attempts[0].attempt.Machine, SilentFor: -1}
 	}
-	if !t.completed && !t.allReported() {
+	if !t.completedEmitted && !t.allReported() {
 		return &RecoveringError{Uptime: t.now - t.startedAt}
 	}
 	return nil
--- a/internal/schedulerd/recovery/errors.go
+++ b/internal/schedulerd/recovery/errors.go
@@ -10,7 +10,7 @@
 type MayRunError struct {
 	Key       string
 	Machine   scheduler.MachineID
-	SilentFor scheduler.Time // since the attempt became unresolved; negative: left out of the text
+	SilentFor scheduler.Time // time since the attempt became unresolved; negative: left out of the text
 }
 
 // Error returns the text that is sent to clients with a rejection.
--- a/internal/schedulerd/recovery/events.go
+++ b/internal/schedulerd/recovery/events.go
@@ -2,13 +2,13 @@
 
 import "glenport/scheduler"
 
-// Event is an input of a Tracker: something that changes which attempts may run or which machines have to report.
+// Event is an input of a Tracker. It may change which attempts may run or which machines have to report.
 type Event interface{ event() }
 
 // AttemptRestored reports an attempt of an earlier incarnation whose outcome is not in the log.
 type AttemptRestored struct{ Attempt Attempt }
 
-// AttemptOutcomeUnknown reports an attempt of this incarnation that was given up without knowing whether it runs.
+// AttemptOutcomeUnknown reports an attempt of this incarnation that was given up although it may run.
 type AttemptOutcomeUnknown struct{ Attempt Attempt }
 
 // AttemptNotRunning reports that a machine has later confirmed that an attempt does not run.
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -7,11 +7,11 @@
 
 // Phases of a container.
 const (
-	PhasePending   ContainerPhase = iota // it was not requested, or its last request is known to have ended
-	PhaseRequested                       // its request was sent to a scheduler, or was about to be: it may run
-	PhaseRunning                         // it ran on a machine
-	PhaseFencing                         // the controller was waiting for the fencing delay, after which it cannot run
-	PhaseFinished                        // it finished and is not started again
+	PhasePending   ContainerPhase = iota // not requested, or the last request is known to have ended
+	PhaseRequested                       // a request was sent or about to be sent: the container may run
+	PhaseRunning                         // the container ran on a machine
+	PhaseFencing                         // waiting for the fencing delay, after which the container cannot run
+	PhaseFinished                        // the container finished and is not started again
 )
 
 // ResumeStep is the first step for a container after a restart of the controller.
@@ -20,7 +20,7 @@
 // Steps after a restart.
 const (
 	StepRequest ResumeStep = iota // request its placement
-	StepLookup                    // look up its key at the scheduler that was sent the request; it knows or finds out
+	StepLookup                    // look up its key at the scheduler that received the request, which knows or finds out
 	StepFence                     // restart the fencing delay, as it is not known how much of it had passed
 	StepNone
 )
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -11,26 +11,26 @@
 	queryBatch         = 32 // machines queried at once after a start
 	queryInterval      = 100 * scheduler.Millisecond
 	queryRetryInterval = 2 * scheduler.Second
-	reportTimeout      = 3 * scheduler.Second // for all machines to report; without a log client retries wait that long
+	reportTimeout      = 3 * scheduler.Second // for all reports of machines; without a log, client retries wait that long
 )
 
 // notStarted is the start time of a Tracker that has handled no event.
 const notStarted scheduler.Time = -1
 
 // Tracker tracks, for one incarnation of the scheduler, the attempts that may run although no machine has confirmed it,
-// and the machines that have yet to report. It drops an attempt when its machine reports or leaves the machine list,
-// and a machine once it has reported or has left the machine list.
+// and the machines that have yet to report. It drops a machine, with the attempts on it, when the machine reports or
+// leaves the machine list.
 type Tracker struct {
-	coverage     LogCoverage
-	idempotency  []scheduler.Idempotency // by workload class
-	now          scheduler.Time
-	startedAt    scheduler.Time
-	listed       bool // a machine list has named machines
-	completed    bool // Completed was emitted
-	announcedAll bool // AllMachinesReported was emitted
-	actions      []Action
-	unresolved   unresolvedAttempts
-	queries      machineQueries
+	coverage           LogCoverage
+	idempotency        []scheduler.Idempotency // by workload class
+	now                scheduler.Time
+	startedAt          scheduler.Time
+	listReceived       bool // a machine list has named machines
+	completedEmitted   bool // Completed was emitted
+	allReportedEmitted bool // AllMachinesReported was emitted
+	actions            []Action
+	unresolved         unresolvedAttempts
+	queries            machineQueries
 }
 
 // NewTracker returns a Tracker for a new incarnation. Coverage tells what the log holds of earlier incarnations.
@@ -105,7 +105,7 @@
 	t.queries.finish(a.Machine)
 }
 
-// resolve resolves the attempts of a key that match.
+// resolve resolves the matching attempts of a key.
 func (t *Tracker) resolve(key string, match func(Attempt) bool) {
 	for _, a := range t.unresolved.remove(key, match) {
 		t.emit(AttemptResolved{a})
@@ -128,10 +128,10 @@
 	if e.FullSnapshot {
 		t.resolveUnlisted(awaited, e.Machines)
 	}
-	if t.listed || len(e.Machines) == 0 {
+	if t.listReceived || len(e.Machines) == 0 {
 		return
 	}
-	t.listed = true
+	t.listReceived = true
 	t.queryAll(awaited, e.Machines)
 }
 
@@ -155,16 +155,16 @@
 // queryAll schedules queries in batches. Machines with unresolved attempts come first, because clients wait for their
 // reports.
 func (t *Tracker) queryAll(awaited map[scheduler.MachineID]bool, listed []scheduler.MachineID) {
-	var first, rest []scheduler.MachineID
+	var urgent, others []scheduler.MachineID
 	for _, id := range listed {
 		if awaited[id] {
-			first = append(first, id)
+			urgent = append(urgent, id)
 		} else {
-			rest = append(rest, id)
+			others = append(others, id)
 		}
 	}
 	scheduled := 0
-	for _, id := range append(first, rest...) {
+	for _, id := range append(urgent, others...) {
 		batch := scheduler.Time(scheduled / queryBatch)
 		if t.queries.schedule(id, t.now+batch*queryInterval) {
 			scheduled++
@@ -177,24 +177,24 @@
 	for _, id := range t.queries.takeDue(t.now) {
 		t.emit(ConnectMachine{id})
 	}
-	if !t.completed && (t.allReported() || t.timedOut()) {
-		t.completed = true
+	if !t.completedEmitted && (t.allReported() || t.timedOut()) {
+		t.completedEmitted = true
 		t.emit(Completed{})
 	}
-	if !t.announcedAll && t.allReported() {
-		t.announcedAll, t.coverage = true, LogComplete
+	if !t.allReportedEmitted && t.allReported() {
+		t.allReportedEmitted, t.coverage = true, LogComplete
 		t.emit(AllMachinesReported{})
 	}
 }
 
-func (t *Tracker) allReported() bool { return t.listed && t.queries.empty() }
+func (t *Tracker) allReported() bool { return t.listReceived && t.queries.empty() }
 
 func (t *Tracker) timedOut() bool { return t.now >= t.startedAt+reportTimeout }
 
 // NextTimer returns the time at which a Tick is due, or 0 if none is.
 func (t *Tracker) NextTimer() scheduler.Time {
 	next := scheduler.Time(0)
-	if !t.completed {
+	if !t.completedEmitted {
 		next = t.startedAt + reportTimeout
 	}
 	return t.queries.nextDue(next)
--- a/internal/schedulerd/recovery/unresolved.go
+++ b/internal/schedulerd/recovery/unresolved.go
@@ -9,10 +9,11 @@
 // unresolvedAttempt is an attempt that may run although no machine has confirmed it.
 type unresolvedAttempt struct {
 	attempt Attempt
-	since   scheduler.Time
+	since   scheduler.Time // time at which the outcome became unknown
 }
 
-// unresolvedAttempts holds unresolved attempts by idempotency key, those of a key in the order they were added.
+// unresolvedAttempts holds unresolved attempts by idempotency key. The attempts of a key are in the order in which they
+// were added.
 type unresolvedAttempts map[string][]unresolvedAttempt
 
 func (u unresolvedAttempts) add(a Attempt, now scheduler.Time) {
@@ -20,7 +21,7 @@
 	u[key] = append(u[key], unresolvedAttempt{attempt: a, since: now})
 }
 
-// remove removes the attempts of a key that match and returns them.
+// remove removes the matching attempts of a key and returns them.
 func (u unresolvedAttempts) remove(key string, match func(Attempt) bool) (removed []Attempt) {
 	var left []unresolvedAttempt
 	for _, pending := range u[key] {
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -97,8 +97,8 @@
 	return p
 }
 
-// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now. found
-// is false if there are none.
+// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now. The
+// result found is false if there are no such sends.
 func (st *stateStore) resolvePendingSends(lookup warmstart.MachineLookup) (snapshot scheduler.Snapshot, found bool) {
 	if len(st.pendingSends) == 0 {
 		return scheduler.Snapshot{}, false
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -17,8 +17,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Name, magic and version of the file of a WarmStartSnapshot. Version 1 held only the machine list, in another format
-// and another file: see readLegacyList.
+// Name, magic number and version of the file that holds a WarmStartSnapshot. Version 1 held only the machine list, in
+// another format and another file: see readLegacyList.
 const (
 	WarmStartFile    = "knowledge"
 	WarmStartMagic   = "GLENKNW"
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -19,19 +19,19 @@
 	*journal
 	state  storeState
 	dir    stateDir
-	loaded loadedState // released once it is restored
+	loaded loadedState // cleared once it is restored
 	writer snapshotWriter
 
 	ledger *warmstart.SendLedger
 	// pendingSends are sends to incarnations that are not listed yet. They are kept for two slow-start windows.
 	pendingSends    []warmstart.SlowStartSends
-	sendsKnownSince scheduler.Time // all slow-start sends since then are known
+	sendsKnownSince scheduler.Time // all slow-start sends since this time are known
 }
 
 // loadedState is the state of earlier incarnations that the folder holds.
 type loadedState struct {
 	history  warmstart.LogHistory
-	attempts []reconcile.Attempt // without a logged end
+	attempts []reconcile.Attempt // attempts whose end is not in the log
 	sends    []warmstart.SlowStartSends
 	snapshot *WarmStartSnapshot // nil if there is none
 }
@@ -67,7 +67,7 @@
 }
 
 func (st *stateStore) open() error {
-	found, err := st.openLog(st.dir)
+	logStats, err := st.openLog(st.dir)
 	if err != nil {
 		return err
 	}
@@ -77,8 +77,8 @@
 	st.beginIncarnation(st.loaded.history)
 	st.transition(storeFolderLoaded)
 	st.log.Info("state loaded", "folder", st.config.StateDir,
-		"records", found.Records, "groups", found.Groups, "bytes", found.Bytes,
-		"truncated_bytes", found.TruncatedBytes, "open_attempts", len(st.loaded.attempts),
+		"records", logStats.Records, "groups", logStats.Groups, "bytes", logStats.Bytes,
+		"truncated_bytes", logStats.TruncatedBytes, "open_attempts", len(st.loaded.attempts),
 		"log_coverage", st.coverage())
 	return nil
 }
@@ -144,8 +144,8 @@
 	}
 }
 
-// logSend records the send of an attempt or a probe to a machine. It reports whether there is anything to log, as for a
-// machine in slow start.
+// logSend records the send of an attempt or a probe to a machine. It reports whether the send has to be logged,
+// because the machine is in slow start.
 func (st *stateStore) logSend(id scheduler.MachineID, start warmstart.MachineStart) bool {
 	sends, changed := st.ledger.RecordSend(st.now(), id, start)
 	if changed {
@@ -154,8 +154,8 @@
 	return changed
 }
 
-// logIncarnation logs earlier sends that may have reached a newly announced incarnation of a machine, although an
-// earlier incarnation was the known one when they were sent.
+// logIncarnation logs sends that may have reached a newly announced incarnation of a machine. At the time of these
+// sends, only an earlier incarnation was known.
 func (st *stateStore) logIncarnation(id scheduler.MachineID, start warmstart.MachineStart) {
 	if sends, changed := st.ledger.IncarnationObserved(st.now(), id, start); changed {
 		st.putSends(sends)
@@ -172,7 +172,7 @@
 }
 
 // close commits the pending changes and writes the last snapshot, once the loop has ended. No snapshot is written if
-// the state was not restored: the one in the folder is more complete than that of this incarnation.
+// the state was not restored: the snapshot in the folder is more complete than the state of this incarnation.
 func (st *stateStore) close(takeSnapshot func() *WarmStartSnapshot) {
 	st.retryDeletes()
 	st.commit()
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcomes of attempts that are counted in addition to those that machines report. The names are shown in the status.
+// Outcomes of attempts that are counted in addition to the outcomes that machines report. The status shows the names.
 const (
 	statTimedOut       = "timed out"
 	statLateAccept     = "late yes"
@@ -71,7 +71,8 @@
 // countAttempt counts an offer that was sent.
 func (s *stats) countAttempt() { s.attempts++ }
 
-// addFirstAttempt adds the submission time of a container, whose latency is recorded at the end of this iteration.
+// addFirstAttempt adds the submission time of a container whose first attempt is sent. The latency is recorded at the
+// end of this iteration.
 func (s *stats) addFirstAttempt(submittedAt time.Duration) {
 	s.firstAttemptSubmissions = append(s.firstAttemptSubmissions, submittedAt)
 }
@@ -79,7 +80,7 @@
 // recordPlacementLatency records the time from the submission until the first attempt was written to the socket.
 func (s *stats) recordPlacementLatency(now time.Duration) {
 	for _, submittedAt := range s.firstAttemptSubmissions {
-		// fails only above maxLatency
+		// RecordValue fails only above maxLatency.
 		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds()))
 	}
 	s.firstAttemptSubmissions = s.firstAttemptSubmissions[:0]
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -50,7 +50,8 @@
 	discovery  *machinelist.Client
 }
 
-// statusReply returns the counters that `glenport status` and the metrics show. Their names must not change.
+// statusReply returns the counters that `glenport status` and the metrics show. The names of the counters must not
+// change.
 func (i *inspector) statusReply() *protocol.StatusReply {
 	list := statList{}
 	list.add("up", i.loop.Elapsed().Seconds(), "s")
--- a/internal/schedulerd/warmstart/clock.go
+++ b/internal/schedulerd/warmstart/clock.go
@@ -2,7 +2,7 @@
 
 import "glenport/scheduler"
 
-// minClockJump is the smallest difference between the two clocks that slewing cannot explain.
+// minClockJump is the smallest difference between the clocks of a Timestamp that slewing cannot explain.
 const minClockJump = scheduler.Second
 
 // unknownAge is the age of a timestamp if the wall clock went back during a restart of the system.
@@ -16,12 +16,12 @@
 	BootID string         `cbor:"Boot"  json:"Boot"` // identifies the boot of the system; empty if unknown
 }
 
-// Elapsed describes the time between two timestamps, of which the earlier one is of an earlier incarnation.
+// Elapsed describes the time between a timestamp of an earlier incarnation and a later timestamp.
 type Elapsed struct {
 	Age scheduler.Time // negative if unknown, because the wall clock went back while the system was down
-	// by which the wall clock was set in between; added to the times of the earlier incarnation
+	// amount by which the wall clock was set between the timestamps; added to times of the earlier incarnation
 	ClockJump scheduler.Time
-	SameBoot  bool // the system has not restarted in between
+	SameBoot  bool // the system has not restarted between the timestamps
 }
 
 // Since returns the time elapsed since an earlier timestamp. Within one boot, jumps of the wall clock are detected and
--- a/internal/schedulerd/warmstart/decay.go
+++ b/internal/schedulerd/warmstart/decay.go
@@ -27,7 +27,7 @@
 
 // decay defines how fast each category becomes outdated: its weight halves with each half-life and is 0 from the
 // maximum age on. The free room of a fleet changes within seconds and an outlier is repaired within minutes, whereas
-// programs behave tomorrow as they do today. If an outlier is weighted too high, a machine that was repaired in between
+// programs behave tomorrow as they do today. If an outlier is weighted too high, a machine that was repaired meanwhile
 // stays ejected for one more probe.
 var decay = [categories]struct{ halfLife, maxAge scheduler.Time }{
 	MachineList:      {halfLife: 24 * hour, maxAge: 24 * hour},
--- a/internal/schedulerd/warmstart/history.go
+++ b/internal/schedulerd/warmstart/history.go
@@ -2,10 +2,10 @@
 
 import "glenport/internal/schedulerd/recovery"
 
-// LogHistory describes what the log holds of earlier incarnations of the scheduler. Each incarnation writes its own to
-// the log when it starts.
+// LogHistory describes what the log holds of earlier incarnations of the scheduler. Each incarnation writes its own
+// history to the log when it starts.
 type LogHistory struct {
-	// Since then every incarnation has recorded its sends to machines in slow start; zero if none has.
+	// time since which every incarnation has recorded its sends to machines in slow start; zero if none has
 	SendsRecordedSince Timestamp            `cbor:"Whole"`
 	Coverage           recovery.LogCoverage `cbor:"Log"`
 }
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -6,18 +6,18 @@
 	"glenport/scheduler"
 )
 
-// transitDivisor limits the transit time of a send to the window divided by it. A send that was made up to that time
-// before a machine started may have reached the machine after the start.
+// transitDivisor limits the transit time of a send to 1/transitDivisor of the slow-start window. A send that was made
+// up to the transit time before a machine started may have reached the machine after the start.
 const transitDivisor = 8
 
 // SlowStartSends are the attempts and probes sent to one incarnation of a machine while it was in slow start.
 type SlowStartSends struct {
 	Machine     scheduler.MachineID `cbor:"Machine"`
-	Incarnation uint64              `cbor:"Start"` // of the machine
+	Incarnation uint64              `cbor:"Start"` // incarnation of the machine
 	Times       []scheduler.Time    `cbor:"Times"` // in order
 }
 
-// last returns the time of the latest send. There is at least one.
+// last returns the time of the latest send. Times must not be empty.
 func (s SlowStartSends) last() scheduler.Time { return s.Times[len(s.Times)-1] }
 
 // MachineLookup returns the start of a machine according to the machine list, and whether the machine is listed.
@@ -31,8 +31,8 @@
 type SendLedger struct {
 	slowStartPeriod scheduler.Time
 	window          scheduler.Time
-	recorded        map[scheduler.MachineID]*SlowStartSends
-	unrecorded      map[scheduler.MachineID][]scheduler.Time // in order, all later than those recorded
+	recordedSends   map[scheduler.MachineID]*SlowStartSends
+	unrecordedSends map[scheduler.MachineID][]scheduler.Time // in order, all later than the recorded sends
 }
 
 // NewSendLedger returns an empty ledger for a slow-start budget that applies per window.
@@ -40,16 +40,16 @@
 	return &SendLedger{
 		slowStartPeriod: slowStartPeriod,
 		window:          window,
-		recorded:        map[scheduler.MachineID]*SlowStartSends{},
-		unrecorded:      map[scheduler.MachineID][]scheduler.Time{},
+		recordedSends:   map[scheduler.MachineID]*SlowStartSends{},
+		unrecordedSends: map[scheduler.MachineID][]scheduler.Time{},
 	}
 }
 
-// Restore records the sends of earlier incarnations of the scheduler. Incarnations are those of the machines.
+// Restore records the sends of earlier incarnations of the scheduler. It takes the incarnations of the machines.
 func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
 	for _, machine := range r.Snapshot.Machines {
 		if len(machine.RecentSends) > 0 {
-			l.recorded[machine.Machine] = &SlowStartSends{
+			l.recordedSends[machine.Machine] = &SlowStartSends{
 				Machine:     machine.Machine,
 				Incarnation: incarnations[machine.Machine],
 				Times:       slices.Clone(machine.RecentSends),
@@ -58,8 +58,8 @@
 	}
 }
 
-// ResolvePending records the pending sends to starts that the machine list names only now, because a restored list may
-// be older than those starts. It returns the sends that it recorded, by machine, and those that are still pending.
+// ResolvePending records the pending sends to machine starts that the machine list names only now: a restored list may
+// be older than these starts. It returns the sends that it recorded, by machine, and the sends that are still pending.
 // Sends older than two windows are dropped.
 func (l *SendLedger) ResolvePending(now scheduler.Time, pending []SlowStartSends,
 	lookup MachineLookup,
@@ -79,26 +79,26 @@
 	return resolved, left
 }
 
-// resolve makes pending sends the record of their machine. Sends recorded for an earlier start may have reached this
-// one, so they are kept as unrecorded sends.
+// resolve makes pending sends the record of their machine. Sends recorded for an earlier start of the machine may have
+// reached the later start, so they are kept as unrecorded sends.
 func (l *SendLedger) resolve(sends SlowStartSends) {
-	if earlier := l.recorded[sends.Machine]; earlier != nil && earlier.Incarnation != sends.Incarnation {
-		l.unrecorded[sends.Machine] = append(earlier.Times, l.unrecorded[sends.Machine]...)
+	if earlier := l.recordedSends[sends.Machine]; earlier != nil && earlier.Incarnation != sends.Incarnation {
+		l.unrecordedSends[sends.Machine] = append(earlier.Times, l.unrecordedSends[sends.Machine]...)
 	}
 	sends.Times = slices.Clone(sends.Times)
-	l.recorded[sends.Machine] = &sends
+	l.recordedSends[sends.Machine] = &sends
 }
 
-// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log before,
+// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log first,
 // and whether there are any.
 func (l *SendLedger) RecordSend(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
 	if !l.inSlowStart(now, start) {
-		l.unrecorded[id] = append(l.recent(now, l.unrecorded[id]), now)
+		l.unrecordedSends[id] = append(l.recent(now, l.unrecordedSends[id]), now)
 		return SlowStartSends{}, false
 	}
 	sends := l.sendsReaching(now, id, start)
 	sends.Times = append(sends.Times, now)
-	l.recorded[id] = sends
+	l.recordedSends[id] = sends
 	return *sends, true
 }
 
@@ -116,49 +116,49 @@
 	if len(sends.Times) == 0 {
 		return SlowStartSends{}, false
 	}
-	l.recorded[id] = sends
+	l.recordedSends[id] = sends
 	return *sends, true
 }
 
 // upToDate reports whether the record of a machine is for this start and complete.
 func (l *SendLedger) upToDate(id scheduler.MachineID, start MachineStart) bool {
-	sends := l.recorded[id]
-	return sends != nil && sends.Incarnation == start.Incarnation && len(l.unrecorded[id]) == 0
+	sends := l.recordedSends[id]
+	return sends != nil && sends.Incarnation == start.Incarnation && len(l.unrecordedSends[id]) == 0
 }
 
 // sendsReaching returns the sends of the last two windows that may have reached a start, and drops the unrecorded sends
 // to the machine.
 func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, start MachineStart) *SlowStartSends {
-	tooEarly := start.StartedAt - l.window/transitDivisor - 1
-	sends := l.recorded[id]
+	unreachable := start.StartedAt - l.window/transitDivisor - 1 // sends up to this time cannot have reached the start
+	sends := l.recordedSends[id]
 	if sends == nil {
 		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation}
 	} else if sends.Incarnation != start.Incarnation {
-		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation, Times: after(tooEarly, sends.Times)}
+		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation, Times: after(unreachable, sends.Times)}
 	}
-	sends.Times = l.recent(now, append(sends.Times, after(tooEarly, l.unrecorded[id])...))
-	delete(l.unrecorded, id)
+	sends.Times = l.recent(now, append(sends.Times, after(unreachable, l.unrecordedSends[id])...))
+	delete(l.unrecordedSends, id)
 	return sends
 }
 
 // Expire drops the records of machines that are no longer in slow start, or gone, and returns these machines, sorted.
-// It keeps their sends of the last two windows as unrecorded sends, because a start that is observed later may have
-// been reached by them.
+// It keeps the sends of the last two windows as unrecorded sends, because they may have reached a machine start that
+// is observed only later.
 func (l *SendLedger) Expire(now scheduler.Time, lookup MachineLookup) []scheduler.MachineID {
 	var expired []scheduler.MachineID
-	for id, sends := range l.recorded {
+	for id, sends := range l.recordedSends {
 		if l.expired(now, sends, lookup) {
 			expired = append(expired, id)
 		}
 	}
 	slices.Sort(expired)
 	for _, id := range expired {
-		l.unrecorded[id] = append(l.recorded[id].Times, l.unrecorded[id]...)
-		delete(l.recorded, id)
+		l.unrecordedSends[id] = append(l.recordedSends[id].Times, l.unrecordedSends[id]...)
+		delete(l.recordedSends, id)
 	}
-	for id, times := range l.unrecorded {
-		if l.unrecorded[id] = l.recent(now, times); len(l.unrecorded[id]) == 0 {
-			delete(l.unrecorded, id)
+	for id, times := range l.unrecordedSends {
+		if l.unrecordedSends[id] = l.recent(now, times); len(l.unrecordedSends[id]) == 0 {
+			delete(l.unrecordedSends, id)
 		}
 	}
 	return expired
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -47,7 +47,7 @@
 		t.Error("a record expired while its machine may be listed again without a restart")
 	}
 	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "a record expired in slow start")
-	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recorded) != 0 {
+	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recordedSends) != 0 {
 		t.Errorf("%v", got)
 	}
 }
@@ -104,7 +104,7 @@
 			_, again := ledger.IncarnationObserved(102*sec, "m", after)
 			testutil.Expect(t, !again, "recorded twice")
 			ledger.Expire(102*sec+2*window, listedWith(MachineStart{9, 0}))
-			if recorded, unrecorded := len(ledger.recorded), len(ledger.unrecorded); recorded+unrecorded != 0 {
+			if recorded, unrecorded := len(ledger.recordedSends), len(ledger.unrecordedSends); recorded+unrecorded != 0 {
 				t.Errorf("after two windows %d records and %d unrecorded entries are left", recorded, unrecorded)
 			}
 		})
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -11,10 +11,10 @@
 
 // Persisted is the state that earlier incarnations left on disk.
 type Persisted struct {
-	TakenAt      Timestamp // of the snapshot; zero if there is none
+	TakenAt      Timestamp // time of the snapshot; zero if there is none
 	Snapshot     scheduler.Snapshot
-	Incarnations map[scheduler.MachineID]uint64 // of the machines, as of the snapshot
-	ClassNames   []string                       // of the workload classes and tenants, in the order of the snapshot
+	Incarnations map[scheduler.MachineID]uint64 // incarnations of the machines at the time of the snapshot
+	ClassNames   []string                       // names of workload classes and tenants, in the order of the snapshot
 
 	History LogHistory
 	Sends   []SlowStartSends // complete since History.SendsRecordedSince if the system has not restarted
@@ -29,12 +29,12 @@
 // Restored is the state that the new incarnation starts with.
 type Restored struct {
 	Snapshot     scheduler.Snapshot
-	PendingSends []SlowStartSends // to machine starts that the machine list does not name yet
+	PendingSends []SlowStartSends // sends to machine starts that the machine list does not name yet
 	Messages     []Message
 }
 
-// Restore weights the persisted state by its age. Window is that of the slow-start budget; classNames are those of the
-// present configuration.
+// Restore weights the persisted state by its age. It takes the workload classes and tenants of the present
+// configuration as classNames, and the window of the slow-start budget.
 func Restore(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, classNames []string,
 	window scheduler.Time,
 ) Restored {
@@ -110,7 +110,7 @@
 	if weight == 0 {
 		return
 	}
-	evidenceCounts := Weight(FailureEvidence, elapsed.Age) > 0
+	keepEvidence := Weight(FailureEvidence, elapsed.Age) > 0
 	for _, machine := range p.Snapshot.Machines {
 		start, listed := machines[machine.Machine]
 		if !listed || start.Incarnation != p.Incarnations[machine.Machine] {
@@ -120,7 +120,7 @@
 		machine.OutlierLogOdds *= weight
 		machine.EjectedUntil = elapsed.adjust(machine.EjectedUntil)
 		machine.SelfDrainingUntil = elapsed.adjust(machine.SelfDrainingUntil)
-		if evidenceCounts {
+		if keepEvidence {
 			machine.FailureEvidence = elapsed.adjustEvidence(machine.FailureEvidence)
 		} else {
 			machine.FailureEvidence = nil
@@ -149,8 +149,8 @@
 }
 
 // restoreSends restores the sends to machines in slow start, for the last two windows. Each send is written to the log
-// before it is made. The record survives the death of the process, but not that of the system. After a restart of the
-// system, as after a first start, the scheduler therefore sends nothing to such machines for one window.
+// before it is made. The record survives the death of the process, but may not survive a crash of the system. After a
+// restart of the system, as after a first start, the scheduler therefore sends nothing to such machines for one window.
 func (r *Restored) restoreSends(
 	now Timestamp,
 	p Persisted,
@@ -184,8 +184,8 @@
 	r.message("sends to machines in slow start restored", slog.Int("sends", restored), millis("within_ms", 2*window))
 }
 
-// recentTimes converts times to the clock of this incarnation and drops those before the span. A future time becomes
-// now.
+// recentTimes converts times to the clock of this incarnation, and drops times that are not within the span before now.
+// A future time becomes now.
 func (e Elapsed) recentTimes(times []scheduler.Time, now, span scheduler.Time) []scheduler.Time {
 	var recent []scheduler.Time
 	for _, t := range times {
