--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// instanceBatch holds the events of a frame for one instance.
+// instanceBatch holds the events of one frame for one scheduler instance.
 type instanceBatch struct {
 	instance  int
-	scheduler *scheduler.Scheduler // nil once it is stopped
+	scheduler *scheduler.Scheduler // nil once the instance is stopped
 	events    []scheduler.Event
 }
 
@@ -102,8 +102,8 @@
 	return batches, nil
 }
 
-// appendDecisions lets one instance handle its events, and appends the actions. If the scheduler panics, it appends a
-// fault of this instance; the other instances are not affected.
+// appendDecisions lets one instance handle its events, and appends the actions. If the scheduler panics, a fault line
+// for the instance is appended instead. Other instances are not affected.
 func appendDecisions(reply *bytes.Buffer, now scheduler.Time, b *instanceBatch) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/adoptions/tracker.go
+++ b/internal/adoptions/tracker.go
@@ -5,16 +5,15 @@
 // The package is pure: no I/O or clock.
 package adoptions
 
-// Tracker records whether containers of a service were adopted since a waiting attempt was decided. It is cleared when
-// no attempt waits, so that it only has entries for the services with adoptions since then. The zero value is ready for
-// use.
+// Tracker records whether containers of a service were adopted since a waiting attempt was decided. The adoptions by
+// service are cleared when no attempt waits, so that their number stays small. The zero value is ready for use.
 type Tracker struct {
 	total     int            // adoptions so far
 	byService map[string]int // value of total after the last adoption of the service
 	waiting   int            // number of waiting attempts
 }
 
-// Count returns the number of adoptions so far, for a later call of Since.
+// Count returns the number of adoptions so far, to be passed to a later call of Since.
 func (t *Tracker) Count() int { return t.total }
 
 // Adopted records that a container of a service was adopted.
@@ -29,8 +28,8 @@
 	t.byService[service] = t.total
 }
 
-// Since reports whether containers of a service were adopted after Count had returned count. The attempt for which
-// Count was called must still be waiting.
+// Since reports whether containers of a service were adopted after the call of Count that returned count. The attempt
+// for which Count was called must still be waiting.
 func (t *Tracker) Since(service string, count int) bool { return t.byService[service] > count }
 
 // AttemptWaiting records that an attempt was decided and waits to be sent.
--- a/internal/machinelist/client.go
+++ b/internal/machinelist/client.go
@@ -29,7 +29,7 @@
 
 // Receiver receives the updates from the service.
 type Receiver interface {
-	// ListUpdated is called with each update, which is a full snapshot or the changes since the last update.
+	// ListUpdated is called with each update: a full snapshot, or the changes since the last update.
 	ListUpdated(update *protocol.MachineListUpdate)
 	// ListUpdateFailed is called when the service rejects a request, and when the connection ends after a request. No
 	// further update arrives until the next request.
@@ -54,11 +54,11 @@
 	log                *slog.Logger
 	conn               *eventloop.Conn // nil if not connected
 	reader             protocol.Reader
-	serviceIncarnation uint64 // of the service when it sent version
-	version            int64
+	serviceIncarnation uint64 // incarnation of the service that sent version
+	version            int64  // version of the last update; 0: a full list is needed
 	lastReadAt         eventloop.Tick
 	lastFrameAt        eventloop.Tick // 0: no data has been received
-	awaitingReply      bool           // a reply or updates are expected; closing the connection fails the update
+	awaitingReply      bool           // a reply or updates are expected; if the connection closes, the receiver is told
 }
 
 // NewClient returns a client that is not connected.
@@ -66,7 +66,7 @@
 	return &Client{loop: loop, options: options, receiver: receiver, log: log}
 }
 
-// Watch subscribes to updates since the last version, or cancels the subscription.
+// Watch subscribes to the updates after the last version. If enabled is false, it cancels the subscription.
 func (c *Client) Watch(enabled bool) {
 	c.request(&protocol.WatchMachineList{Enabled: enabled, SinceVersion: c.version})
 }
@@ -77,7 +77,7 @@
 // LastVersion returns the version of the last update. If it is 0, the next update must be a full list.
 func (c *Client) LastVersion() int64 { return c.version }
 
-// SinceLastFrame returns the time since data from the service was last received, and whether any has been.
+// SinceLastFrame returns the time since data from the service was last received, and whether any was received at all.
 func (c *Client) SinceLastFrame() (age eventloop.Tick, received bool) {
 	return c.loop.Now() - c.lastFrameAt, c.lastFrameAt > 0
 }
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -11,7 +11,7 @@
 	queryBatch         = 32 // machines queried at once after a start
 	queryInterval      = 100 * scheduler.Millisecond
 	queryRetryInterval = 2 * scheduler.Second
-	reportTimeout      = 3 * scheduler.Second // for all reports of machines; without a log, client retries wait that long
+	reportTimeout      = 3 * scheduler.Second // time for all reports; without a log, client retries wait that long
 )
 
 // notStarted is the start time of a Tracker that has handled no event.
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -1,6 +1,6 @@
 // Package simprotocol is the codec of the simulator's wire protocol. It decodes lines into the events of a scheduler
-// and encodes the scheduler's actions as lines. It translates between the names of the protocol, with its settings, and
-// those of package scheduler.
+// and encodes the scheduler's actions as lines. It translates the names in messages and settings of the protocol to the
+// names of package scheduler, and back.
 package simprotocol
 
 import (
@@ -39,20 +39,20 @@
 	Stop     bool              // stops the instance
 }
 
-// Frame is a batch of messages. Their events happened by the time of the frame.
+// Frame is a batch of messages.
 type Frame struct {
-	Now        scheduler.Time
-	Seq        string // sent back in the reply
+	Now        scheduler.Time // time by which the events of the frame have happened
+	Seq        string         // sent back in the reply
 	Deliveries []Delivery
 }
 
 // machineList is a machine list that updates refer to by number.
 type machineList struct {
 	entries []scheduler.MachineEntry
-	defined bool
+	defined bool // false: no list of this number was received
 }
 
-// Decoder decodes frames. It keeps the numbered machine lists; a new list replaces the previous one with its number.
+// Decoder decodes frames. It keeps the numbered machine lists. A new list replaces the previous one of its number.
 type Decoder struct {
 	reader       *bufio.Reader
 	lineNumber   int
@@ -64,7 +64,7 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// Next decodes a frame. It returns io.EOF if the input ends between frames. Every other error names a line.
+// Next decodes a frame. It returns io.EOF if the input ends between frames. Every other error names a line number.
 func (d *Decoder) Next() (*Frame, error) {
 	line, err := d.readLine()
 	if err != nil {
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -46,7 +46,7 @@
 
 func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Value, e.Problem) }
 
-// ExtraFieldsError reports that a line has more fields than its message.
+// ExtraFieldsError reports that a line has more fields than its message allows.
 type ExtraFieldsError struct{ Count int }
 
 func (e *ExtraFieldsError) Error() string { return fmt.Sprintf("%d fields too many", e.Count) }
--- a/internal/simprotocol/fieldreader.go
+++ b/internal/simprotocol/fieldreader.go
@@ -18,7 +18,8 @@
 
 var booleanFields = map[bool]string{false: fieldFalse, true: fieldTrue}
 
-// fieldReader decodes the fields of a line in order. It keeps the first error for finish, so that callers check once.
+// fieldReader decodes the fields of a line in order. It keeps the first error, which finish returns, so that callers
+// check for errors only once.
 type fieldReader struct {
 	remaining []string
 	err       error
@@ -115,7 +116,7 @@
 	return field == fieldTrue
 }
 
-// loadReport decodes name:value pairs. Pairs with an absent value are left out.
+// loadReport decodes name:value pairs. It leaves out pairs whose value is absent.
 func (f *fieldReader) loadReport() scheduler.LoadReport {
 	field := f.text()
 	if field == absentField || field == "" {
--- a/internal/simprotocol/machinelist.go
+++ b/internal/simprotocol/machinelist.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// decodeUpdate decodes an update of the machine list. It refers to a list by number, unless it reports a failed poll.
+// decodeUpdate decodes an update of the machine list. The update refers to a list by number, unless it reports a failed
+// poll.
 func (d *Decoder) decodeUpdate(f *fieldReader) (scheduler.Event, error) {
 	update := scheduler.MachineListUpdate{Mode: enumValue(f, updateModes), Version: int64(f.wholeNumber())}
 	reference := f.text()
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -91,7 +91,7 @@
 	return types
 }
 
-// workloadClasses reads count workload classes. It stops after the first with an error.
+// workloadClasses reads count workload classes. It stops after the first class with an error.
 func (s *settingsReader) workloadClasses(count, machineTypes int) []scheduler.WorkloadClass {
 	typeOfClass := s.numbers("family_info.class_kind", count)
 	maxPerScope := s.numbers("family_info.class_most", count)
@@ -103,7 +103,7 @@
 		class.MaxPerScope = int(maxPerScope[i])
 		scope, known := spreadScopes[spreadOfClass[i]]
 		class.SpreadScope = scope
-		// These two errors replace any other error of the class.
+		// The next two errors replace any other error of the class.
 		if !known {
 			s.err = &SettingError{
 				Setting: "family_info.spread_over",
@@ -121,7 +121,7 @@
 	return classes
 }
 
-// workloadClass reads the settings under the path of a single class. The path ends in a dot.
+// workloadClass reads the settings of a single class. The settings begin with path, which ends in a dot.
 func (s *settingsReader) workloadClass(path string) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		Idempotency:      settingValue(s, path+"effect", idempotencies),
--- a/internal/simprotocol/settingsreader.go
+++ b/internal/simprotocol/settingsreader.go
@@ -11,7 +11,8 @@
 // maxCount bounds the counts in settings.
 const maxCount = 10_000_000
 
-// settingsReader reads settings by path. It keeps the first error, so that callers check once after many settings.
+// settingsReader reads settings by path. It keeps the first error, so that callers check for errors only once after
+// reading several settings.
 type settingsReader struct {
 	values map[string]string
 	total  int // number of pairs, including repeated paths
