--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// A late Restore inserts earlier sends at the front of a ledger. Sends from before the window that were still in the
-// ledger would then lie behind them and count again.
+// A late Restore inserts earlier sends at the front of a ledger. Sends from before the window that are still in the
+// ledger would then follow the inserted sends, so they would not be dropped and would count again.
 func TestDrawTrimsLedgersOfMachinesInSlowStart(t *testing.T) {
 	s := settledScheduler(nil, nil)
 	for _, m := range s.machines.all() {
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -82,13 +82,13 @@
 	return count
 }
 
-// A start that a machine reports itself is applied, and leaves the other machines unchanged. It must not cancel a poll
-// that is due; only an answer of the list service does.
+// A start that a machine reports itself is applied, and leaves the other machines unchanged. The start must not cancel
+// a poll that is due: only an answer of the list service does.
 func TestSelfReportedStartLeavesPollDue(t *testing.T) {
 	failed, delta := MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: DeltaUpdate}
 	for _, tc := range []struct {
 		name     string
-		before   []Event // from the list service, before the machine's report
+		before   []Event // events from the list service before the machine's report
 		mode     UpdateMode
 		stillDue bool
 	}{
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -57,7 +57,7 @@
 	testutil.Require(t, lastAction(actions) == (Probe{"a"}) && !m.outlier.isEjected(),
 		"probed by %v, ejected until %d", actions, m.outlier.ejectedUntil)
 	if s.fail(m, 1); !m.outlier.isEjected() {
-		t.Error("a failure on trial does not eject it again")
+		t.Error("a failure on trial does not eject the machine again")
 	}
 }
 
@@ -136,8 +136,8 @@
 	return count
 }
 
-// Outcomes of attempts on an earlier incarnation of a machine, or of probes to it, are no evidence about the current
-// one.
+// Outcomes of attempts on and probes to an earlier incarnation of a machine are no evidence about its current
+// incarnation.
 func TestOutcomesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	probeTimedOut := ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}
 	for _, tc := range []struct {
--- a/scheduler/simulatedevents_test.go
+++ b/scheduler/simulatedevents_test.go
@@ -10,7 +10,7 @@
 	for _, m := range machines {
 		e := m.entry
 		k := sim.config.MachineTypes[e.MachineType]
-		e.FreeCores, e.FreeMemory = k.Cores-m.used, k.Memory-m.memory
+		e.FreeCores, e.FreeMemory = k.Cores-m.usedCores, k.Memory-m.usedMemory
 		if sim.random.chance(0.1) {
 			e.FreeCores -= 3 // requests of other schedulers
 		}
--- a/scheduler/simulatedmachines_test.go
+++ b/scheduler/simulatedmachines_test.go
@@ -93,8 +93,8 @@
 
 // reserve adds a container's request to the use of its machine; with sign -1 it subtracts it.
 func (sim *simulatedCluster) reserve(c *simulatedContainer, sign float64) {
-	c.machine.used += sign * c.request.Cores
-	c.machine.memory += sign * c.request.Memory
+	c.machine.usedCores += sign * c.request.Cores
+	c.machine.usedMemory += sign * c.request.Memory
 }
 
 // attempt draws the outcome of an attempt and schedules it.
@@ -141,9 +141,9 @@
 	case m.fault == refusing:
 		reason := pick(r, ReasonNone, ReasonNoMemory, ReasonQueueTooLong)
 		return AttemptEnded{Outcome: OutcomeFull, Reason: reason}, quick
-	case m.used > k.Cores*sim.config.CoresOvercommit:
+	case m.usedCores > k.Cores*sim.config.CoresOvercommit:
 		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonNoCores}, quick
-	case m.memory > k.Memory*sim.config.MemoryOvercommit:
+	case m.usedMemory > k.Memory*sim.config.MemoryOvercommit:
 		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonNoMemory}, quick
 	}
 	if r.chance(0.01) {
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -52,7 +52,7 @@
 	withInvalidEvents bool    // the sequence has invalid events
 	retryRatio        float64 // share of rejected requests that the client retries
 	listFailureRatio  float64 // share of polls that fail
-	sameFailingClass  bool    // machines that fail a class all fail the same one
+	sameFailingClass  bool    // all machines with the fault failsOneClass fail the same class
 
 	selfReports bool // machines report their starts themselves
 }
@@ -69,9 +69,9 @@
 	machines       []*simulatedMachine
 	byID           map[MachineID]*simulatedMachine
 	containers     map[ContainerID]*simulatedContainer
-	ids            []ContainerID // of all containers so far
+	ids            []ContainerID // IDs of all containers so far
 	version        int64
-	incarnation    int // of the scheduler; attempts and timers of earlier ones are dropped
+	incarnation    int // incarnation of the scheduler; attempts and timers of earlier incarnations are dropped
 }
 
 // scheduledStep is a step of the simulation at a time. It returns events and may change the cluster.
@@ -84,9 +84,9 @@
 type simulatedMachine struct {
 	entry         MachineEntry
 	fault         simulatedFault
-	class, tenant int // failed by failsOneClass and failsOneTenant
-	used          float64
-	memory        float64
+	class, tenant int // class and tenant that fail with failsOneClass and failsOneTenant
+	usedCores     float64
+	usedMemory    float64
 }
 
 type simulatedContainer struct {
@@ -131,7 +131,7 @@
 	sim.digest.fold(snapshotOrdinal, sim.scheduler.Snapshot())
 }
 
-// step runs the steps that are due next in one batch, sometimes together with those that follow shortly after.
+// step runs the steps that are due next in one batch, sometimes together with steps that are due shortly after.
 func (sim *simulatedCluster) step() {
 	sim.now = max(sim.now, sim.queue[0].at)
 	if sim.random.chance(0.2) {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,14 +10,14 @@
 )
 
 // Whatever the arrival times, no window of a machine in slow start has more attempts from all schedulers than the
-// budget. If there are more schedulers than the budget, those with a quota draw the machine more often, so that it is
-// used.
+// budget. If there are more schedulers than the budget, the schedulers with a quota draw the machine more often, so
+// that the budget is used.
 func TestSlowStartBudgetHoldsInAnyWindow(t *testing.T) {
 	for _, tc := range []struct {
-		gap        Time // between a scheduler's containers
+		gap        Time // time between two containers of a scheduler
 		schedulers int
-		starting   string
-		least      int // minimum of attempts on machine a
+		starting   string // names of the machines in slow start
+		least      int    // minimum of attempts on machine a
 	}{
 		{10, 3, "abcd", 1},
 		{100, 3, "abcd", 1},
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -7,8 +7,9 @@
 	"glenport/internal/testutil"
 )
 
-// A scheduler that restores the snapshot of an earlier incarnation continues like that one. An ejected machine stays
-// ejected, and no window of a slow start has more sends than the quota, even if several incarnations run within it.
+// A scheduler that restores the snapshot of an earlier incarnation continues as that incarnation would. An ejected
+// machine stays ejected. No window of a slow start has more sends than the quota, even if several incarnations of the
+// scheduler run within the window.
 func TestRestoredSchedulerContinuesItsEarlierIncarnation(t *testing.T) {
 	config := testConfig(Idempotent)
 	config.SchedulerCount, config.MaxAttempts = 1, 1
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -97,8 +97,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(drawn)), "")
 }
 
-// The more the loss of a class exceeds that of its peers, the less evidence is needed. Without peers, no evidence is
-// enough.
+// The more the loss of a class exceeds the loss of its peers, the less evidence is needed. Without peers, no evidence
+// is enough.
 func TestSuspicionThresholdFallsWithExcessLoss(t *testing.T) {
 	last := suspicionThreshold(0, 1)
 	for _, excess := range []float64{0, 0.1, 0.3, 0.5, 0.8} {
