--- a/internal/adoptions/tracker_test.go
+++ b/internal/adoptions/tracker_test.go
@@ -6,7 +6,7 @@
 	"glenport/internal/testutil"
 )
 
-// Adoptions are kept by service only while an attempt waits whose decision they may outdate.
+// Adoptions are recorded by service only while an attempt waits, because only then can they outdate a decision.
 func TestAdoptionsAreTrackedWhileAttemptsAreWaiting(t *testing.T) {
 	var tracker Tracker
 	tracker.Adopted("s")
@@ -16,7 +16,7 @@
 	tracker.Adopted("s")
 	tracker.AttemptWaiting()
 	testutil.Expect(t, tracker.Since("s", before) && !tracker.Since("other", before),
-		"an adoption of the service does not count, or one of another does")
+		"an adoption of the service does not count, or an adoption of another service does")
 	tracker.AttemptsDone(1)
 	testutil.Expect(t, tracker.Since("s", before), "an adoption is forgotten while an attempt is waiting")
 	tracker.AttemptsDone(1)
--- a/internal/machinelist/client_test.go
+++ b/internal/machinelist/client_test.go
@@ -70,15 +70,15 @@
 	return protocol.NewHello(protocol.RoleMachineList, "list", incarnation)
 }
 
-// serveThreeUpdates sends a full list on the first connection, the update second on the second one, and a full list on
-// every further one. From the second connection on, the service has the given incarnation. The version since which the
-// third connection requests updates is sent to third. The versions of earlier connections are not sent, because
-// connections are served concurrently and theirs might arrive later.
+// serveThreeUpdates sends secondUpdate on the second connection, and a full list on every other connection. From the
+// second connection on, the service has the given incarnation. The version since which the third connection requests
+// updates is sent to thirdVersion. The versions of earlier connections are not sent: connections are served
+// concurrently, so these versions might arrive later.
 func serveThreeUpdates(
 	t *testing.T,
 	incarnation uint64,
-	second *protocol.MachineListUpdate,
-	third chan<- int64,
+	secondUpdate *protocol.MachineListUpdate,
+	thirdVersion chan<- int64,
 ) string {
 	t.Helper()
 	var connections atomic.Int32
@@ -89,7 +89,7 @@
 		case 1:
 			hello, update = serviceHello(1), &protocol.MachineListUpdate{FullSnapshot: true, Version: 5}
 		case 2:
-			update = second
+			update = secondUpdate
 		}
 		frames.Send(c, hello)
 		frames.Skip(c)
@@ -98,35 +98,35 @@
 			return
 		}
 		if n == 3 {
-			third <- f.(*protocol.WatchMachineList).SinceVersion
+			thirdVersion <- f.(*protocol.WatchMachineList).SinceVersion
 		}
 		frames.Send(c, update)
 		frames.Skip(c)
 	})
 }
 
-// A list that is older than the last one, or from another incarnation of the service, is not applied. The next request
+// A list is not applied if it is older than the last list or from another incarnation of the service. The next request
 // asks for the full list if the service has restarted.
 func TestOlderMachineListIsNotApplied(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		incarnation uint64 // of the service from the second connection on
+		incarnation uint64 // incarnation of the service from the second connection on
 		update      protocol.MachineListUpdate
-		since       int64 // the version of the third request
+		since       int64 // version since which the third request asks for updates
 	}{
 		{"an older version", 1, protocol.MachineListUpdate{FullSnapshot: true, Version: 4}, 5},
 		{"another incarnation of the service", 2, protocol.MachineListUpdate{Version: 6}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			third := make(chan int64, 1)
-			address := serveThreeUpdates(t, tc.incarnation, &tc.update, third)
+			thirdVersion := make(chan int64, 1)
+			address := serveThreeUpdates(t, tc.incarnation, &tc.update, thirdVersion)
 			client, results := runClient(t, address, 10*eventloop.Second)
 			for i, want := range []result{{version: 5}, {failed: true}, {version: 7}} {
 				reconnectAndWatch(client)
 				got := testutil.Receive(t, results)
 				testutil.Require(t, got == want, "request %d: %+v, want %+v", i+1, got, want)
 			}
-			testutil.Equal(t, <-third, tc.since, "the version since which updates were requested")
+			testutil.Equal(t, <-thirdVersion, tc.since, "the version since which updates were requested")
 		})
 	}
 }
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -49,9 +49,9 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		open  clients // that send the requests, in order
+		open  clients // clients that send the requests, in order
 		then  func(*Controller)
-		limit Limit // that a further request of client 1 would exceed; 0: none
+		limit Limit // limit that another request of client 1 would exceed; 0: none
 	}{
 		{"below all", clients{1}, nil, 0},
 		{"too many of the client", clients{1, 1}, nil, LimitOpenRequestsPerClient},
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -171,8 +171,9 @@
 	h.client.submit("second", classIdempotent)
 	h.client.wantReply(protocol.VerdictPlaced)
 	<-offers
-	left := scheduler.Time((<-offers).Timeout)
-	testutil.Expect(t, left <= timeout-scheduler.Time(stall), "%d of %d ticks are left after a stall", left, timeout)
+	timeLeft := scheduler.Time((<-offers).Timeout)
+	testutil.Expect(t, timeLeft <= timeout-scheduler.Time(stall),
+		"%d of %d ticks are left after a stall", timeLeft, timeout)
 }
 
 // A machine that does not read must not affect others: further offers to it end as not sent, the pending output is
@@ -217,7 +218,7 @@
 		testutil.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
 	}
 	defer setLimit(old)
-	closed := make(chan struct{}, 10) // the server could use a descriptor that the machine frees late
+	closed := make(chan struct{}, 10) // awaited, because the server could use a descriptor that is freed later
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		frames.Skip(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -227,7 +227,7 @@
 	return fields
 }
 
-// zeroField returns the path of a field that is zero in the golden data; "" if there is none.
+// zeroField returns the path of a field that is zero in the golden data, or "" if there is none.
 func zeroField(path string, v reflect.Value) string {
 	for _, f := range fieldsOf(path, v) {
 		if zero := zeroField(f.path, f.value); zero != "" {
--- a/internal/schedulerd/goldendata_test.go
+++ b/internal/schedulerd/goldendata_test.go
@@ -72,7 +72,7 @@
 	FullRatio: 0.4375, RejectedWeight: 0.5625, SendsKnownSince: 4009,
 }
 
-// goldenSnapshot has a single map entry, as several would be encoded in random order.
+// goldenSnapshot has a single map entry, because several entries would be encoded in random order.
 func goldenSnapshot() *WarmStartSnapshot {
 	return &WarmStartSnapshot{
 		TakenAt:         warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -19,7 +19,7 @@
 // modelMachine is a machine controlled by the steps of an interleaving.
 type modelMachine struct {
 	*rawListener
-	protocol.MachineEntry // as listed
+	protocol.MachineEntry // entry in the machine list
 	incarnation           uint64
 	startedAt             scheduler.Time           // start of the incarnation; 0: long ago
 	attempts              map[uint64]*modelAttempt // by number
@@ -28,7 +28,7 @@
 type modelAttempt struct {
 	protocol.InventoryItem
 	pending   bool   // not answered yet
-	checkerID string // its container ID in the checker; "" until the next inventory if its answer was lost
+	checkerID string // container ID in the checker; "" until the next inventory if the answer was lost
 }
 
 func (m *modelMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.attempts)) }
@@ -44,9 +44,9 @@
 	machines  map[string]*modelMachine
 	client    *rawConn
 	submitted int
-	answers   map[string]int  // by container
-	cancelled map[string]bool // answered before the cancel, so that later replies answer the cancel
-	adopted   int
+	answers   map[string]int  // number of answers, by container
+	cancelled map[string]bool // containers answered before their cancel: later replies answer the cancel
+	adopted   int             // number of attempts that the checker observed as adopted
 }
 
 var modelMachineNames = []string{"a", "b"}
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -144,8 +144,8 @@
 	}))
 }
 
-// A closed connection does not end running containers: the next inventory decides. Containers that it no longer lists
-// are lost; listed containers of an earlier incarnation are adopted.
+// A closed connection does not end running containers: the next inventory decides. Containers that the inventory no
+// longer lists are lost. Listed containers of an earlier incarnation are adopted.
 func TestInventoryAfterReconnectDecidesWhatIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -150,7 +150,7 @@
 	}
 	retries := 0
 	for i := range 1000 {
-		limiter.Handle(now, RequestFailed{0}) // room for one
+		limiter.Handle(now, RequestFailed{0}) // makes room for one request
 		if ok, _ := request(t, limiter, now, RequestReceived{Client: strconv.Itoa(retries), ClientRetry: true}); ok {
 			retries++
 		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
@@ -163,7 +163,7 @@
 	}
 }
 
-// drawEvent returns a random request, or the start of a random one if any are open.
+// drawEvent returns a random request, or the start of a container if requests are open.
 func drawEvent(t *rapid.T, open int) Event {
 	request := RequestReceived{
 		Client:        strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "client")),
@@ -212,14 +212,14 @@
 	return shed
 }
 
-// After a restart during an overload the limit is that of the last incarnation, divided by the weight of the snapshot,
-// and the baselines are kept.
+// After a restart during an overload, the limit is the limit of the last incarnation divided by the weight of the
+// snapshot. The baselines are kept.
 func TestRestoredLimitCountsByWeight(t *testing.T) {
 	before, now := overloadedLimiter(t)
 	for _, tc := range []struct {
 		weight float64
-		least  float64 // times the limit before
-		most   float64
+		least  float64 // lower bound of the ratio of the new limit to the old one
+		most   float64 // upper bound of the ratio
 	}{{1, 1, 1}, {0.5, 2, 2}, {0, 100, math.Inf(1)}} {
 		after := New(testConfig())
 		after.Restore(before.Snapshot(), tc.weight)
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// An adoption makes attempts stale that are of the same service and were queued before it.
+// An adoption makes the queued attempts of the same service stale that were decided before the adoption.
 func TestAdoptionsAreTrackedWhileAttemptsAreQueued(t *testing.T) {
 	var tracker adoptions.Tracker
 	queue := attemptQueue{adoptions: &tracker}
@@ -23,7 +23,7 @@
 	tracker.Adopted("s")
 	queue.add(second)
 	testutil.Expect(t, queue.adoptedSince("s", before) && !queue.adoptedSince("other", before),
-		"an adoption of the service does not count, or one of another service does")
+		"an adoption of the service does not count, or an adoption of another service does")
 	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is not removed exactly once")
 	left := queue.takeAll()
 	testutil.Expect(t, len(left) == 1 && left[0] == second && queue.empty(), "%d attempts taken", len(left))
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -15,7 +15,7 @@
 	name        string
 	change      func(h *harness, address string) // nil: no change
 	incarnation uint64                           // in the hello of the machine
-	sent        bool
+	sent        bool                             // whether the attempt is sent
 }
 
 // listUpdate returns a change that applies a list entry of machine a.
@@ -84,8 +84,8 @@
 	awaitEvent[scheduler.ContainerAdopted](h.t, h.script, nil)
 }
 
-// A queued probe is not sent to an incarnation that the hello of the machine has announced meanwhile, as it was not
-// charged to that incarnation.
+// A queued probe is not sent to an incarnation that the hello of the machine has announced meanwhile, because the probe
+// was not charged to that incarnation.
 func TestProbeOfAnEarlierIncarnationIsNotSent(t *testing.T) {
 	outcomes := map[uint64]scheduler.Outcome{1: scheduler.OutcomeTimedOut, 2: scheduler.OutcomeNotSent}
 	for incarnation, want := range outcomes {
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -18,8 +18,8 @@
 	t       *testing.T
 	fd      int
 	reader  protocol.Reader
-	written int // bytes
-	read    int
+	written int // bytes written
+	read    int // bytes read
 	closed  bool
 }
 
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -172,8 +172,8 @@
 		{"cancelled, and an earlier attempt runs", []any{
 			place("a", 1), lateAccept(attempt(1, 5, 9, true)), CancelRequested{1, "a", "k-a"},
 		}, "cancel 5.9, terminate a as a"},
-		// A scheduler that has just started does not know what runs. If it answered that nothing does, a container
-		// could keep running forever.
+		// A scheduler that has just started does not know which containers run. If it answered that none does, a
+		// container could keep running forever.
 		{"cancelled, and no machine has reported", []any{CancelRequested{1, "x", "k-a"}}, "reject x"},
 		{"cancelled, all machines have reported", []any{
 			listed, reported, CancelRequested{1, "x", "k-a"},
@@ -302,8 +302,8 @@
 	})
 }
 
-// failedTwice is a broken connection after two failed attempts to reconnect.
-var failedTwice = []any{
+// twoFailedReconnects is a broken connection after two failed attempts to reconnect.
+var twoFailedReconnects = []any{
 	place("a", 0), accepted, disconnected, connectFailed,
 	200 * ms, timerFired, connectFailed, 1000 * ms, timerFired,
 }
@@ -321,13 +321,13 @@
 		{"tried again after the backoff", []any{
 			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, timerFired,
 		}, "connect m"},
-		{"lost after some attempts", after(failedTwice, connectFailed), "lost a"},
+		{"lost after some attempts", after(twoFailedReconnects, connectFailed), "lost a"},
 		{"not lost by a local shortage", after(
-			failedTwice, ConnectFailed{"m", true}, 1200*ms, timerFired,
+			twoFailedReconnects, ConnectFailed{"m", true}, 1200*ms, timerFired,
 		), "connect m"},
 		// Otherwise a container that kept running during a network partition would never be found again.
 		{"lost, and its machine is queried later", after(
-			failedTwice, connectFailed, removed, 3100*ms, timerFired,
+			twoFailedReconnects, connectFailed, removed, 3100*ms, timerFired,
 		), "connect m"},
 	})
 }
@@ -336,10 +336,10 @@
 type keyModel struct {
 	open    map[scheduler.ContainerID]string
 	running map[scheduler.ContainerID]string
-	number  uint64 // of the last attempt
+	number  uint64 // number of the last attempt
 }
 
-// draw returns a random event, or nil if the one drawn is not possible.
+// draw returns a random event, or nil if the drawn event is not possible.
 func (m *keyModel) draw(t *rapid.T) Event {
 	id := func() scheduler.ContainerID {
 		return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
@@ -376,7 +376,7 @@
 	return AttemptAccepted{id, "m", m.number}
 }
 
-// admit checks that no container that is open or runs has the key of a newly admitted one.
+// admit checks that no open or running container has the key of a newly admitted container.
 func (m *keyModel) admit(t *rapid.T, r scheduler.PlacementRequest) {
 	for _, containers := range []map[scheduler.ContainerID]string{m.open, m.running} {
 		for other, key := range containers {
@@ -440,7 +440,7 @@
 }
 
 // BGP peers drop the routes that have not been announced when recovery is complete, so the containers of the last
-// machine to report must be adopted before.
+// machine to report must be adopted before that.
 func TestRecoveryIsCompleteOnlyAfterTheLastReportIsAdopted(t *testing.T) {
 	reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
 	reconciler.Handle(0, []Event{MachinesListed{Machines: []scheduler.MachineID{"m", "n"}, FullSnapshot: true}})
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -171,8 +171,8 @@
 
 // attemptModel tracks the attempts that may run by number, from the events alone.
 type attemptModel struct {
-	open map[uint64]Attempt
-	last uint64
+	open       map[uint64]Attempt
+	lastNumber uint64
 }
 
 // draw returns a random event and its time, which is not before now.
@@ -181,7 +181,7 @@
 	key := rapid.SampledFrom(modelKeys).Draw(t, "key")
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
 	case 0:
-		return m.add(attempt(key, 2, machine, m.last+1), now), now
+		return m.add(attempt(key, 2, machine, m.lastNumber+1), now), now
 	case 1:
 		maps.DeleteFunc(m.open, func(_ uint64, a Attempt) bool { return a.Machine == machine })
 		return MachineReported{machine}, now
@@ -197,9 +197,9 @@
 	return Tick{}, now + scheduler.Time(rapid.IntRange(1, 40_000).Draw(t, "advance"))
 }
 
-// add opens an attempt. At time 0 it is one of an earlier incarnation.
+// add opens an attempt. At time 0 the attempt is of an earlier incarnation.
 func (m *attemptModel) add(a Attempt, now scheduler.Time) Event {
-	m.last = a.Number
+	m.lastNumber = a.Number
 	m.open[a.Number] = a
 	if now == 0 {
 		return AttemptRestored{a}
@@ -232,8 +232,8 @@
 	modelKeys     = []string{"x", "y"}
 )
 
-// In random sequences of events a key under which an attempt may run is never free before its machine has reported or
-// has left the machine list. Nothing is left when all machines have left.
+// In random sequences of events, a key under which an attempt may run is not free before the machine of the attempt has
+// reported or has left the machine list. No key or query is left when all machines have left.
 func TestKeyOfUnresolvedAttemptIsNeverFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coverage := LogCoverage(rapid.IntRange(0, 2).Draw(t, "coverage"))
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -143,8 +143,8 @@
 type crashCase struct {
 	name   string
 	class  int
-	runs   bool
-	logged int
+	runs   bool // the machine reports the container
+	logged int  // attempts in the log
 	want   protocol.Verdict
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Sends to a machine that is not known to be in slow start are not logged. Once the list announces an incarnation that
-// they may have reached, they are logged, so that the next incarnation of the scheduler restores them.
+// these sends may have reached, the sends are logged, so that the next incarnation of the scheduler restores them.
 func TestSendsBeforeAnIncarnationIsObservedAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -30,9 +30,9 @@
 	}))
 }
 
-// While the disk is full, attempts that must be logged are not sent, and others are. Once there is space again, the
-// same incarnation sends them, and the log holds no attempts that have ended meanwhile. This also applies to an
-// incarnation that starts on a full disk.
+// While the disk is full, only attempts that need no log record are sent. Once there is space again, the same
+// incarnation also sends attempts that must be logged, and the log holds no attempts that have ended meanwhile. This
+// also applies to an incarnation that starts on a full disk.
 func TestFullDiskBlocksOnlyLoggedAttempts(t *testing.T) {
 	for _, tc := range []fullDiskCase{{"full while it runs", false}, {"full at the start", true}} {
 		t.Run(tc.name, tc.run)
@@ -81,7 +81,7 @@
 	attempts := countRecords(t, settings.StateDir, AttemptKind)
 	incarnations := countRecords(t, settings.StateDir, IncarnationKind)
 	testutil.Expect(t, attempts == 1 && incarnations == 1,
-		"%d attempts and %d incarnations in the log, want one running and one", attempts, incarnations)
+		"%d attempts and %d incarnations in the log, want 1 running attempt and 1 incarnation", attempts, incarnations)
 }
 
 // An attempt that waits for a slow disk longer than the connect timeout ends as not sent, and is never sent late, not
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -8,12 +8,12 @@
 	"glenport/scheduler"
 )
 
-// listedWith returns a lookup by which every machine is listed with this start.
+// listedWith returns a lookup for which every machine is listed with the given start.
 func listedWith(start MachineStart) MachineLookup {
 	return func(scheduler.MachineID) (MachineStart, bool) { return start, true }
 }
 
-// notListed is a lookup by which no machine is listed.
+// notListed is a lookup for which no machine is listed.
 func notListed(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
 
 // Sends to a machine are recorded while it is in slow start, and no longer.
@@ -52,8 +52,8 @@
 	}
 }
 
-// Sends to a machine whose slow start is over are kept in memory. If the machine had restarted before them, they are
-// recorded with the next send. Otherwise the next incarnation of the scheduler would not know that part of the budget.
+// Sends to a machine whose slow start is over are kept in memory. If the machine had restarted before these sends, the
+// next send records them. Otherwise the next incarnation of the scheduler would use that part of the budget again.
 func TestSendsBeforeStartIsObservedAreRecorded(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
 	ledger.RecordSend(100*sec, "m", MachineStart{7, 0})
@@ -62,7 +62,7 @@
 	}
 }
 
-// Sends that may have reached a start are recorded as soon as the start is observed, including those of an earlier
+// Sends that may have reached a start are recorded as soon as the start is observed, including sends of an earlier
 // incarnation of the scheduler. Sends to earlier starts are not recorded, and unrecorded sends are dropped after two
 // windows.
 func TestObservedStartIsRecordedWithWhatReachedIt(t *testing.T) {
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -206,13 +206,13 @@
 	testutil.Expect(t, strings.Contains(messages, tc.want.message), "messages %q", messages)
 }
 
-// After two crashes in a row, attempts that the first one lost from the log are still counted as missing.
+// After two crashes in a row, attempts that the first crash removed from the log still count as missing.
 func TestHistoryKeepsWhatWasLost(t *testing.T) {
 	b1 := func(s scheduler.Time) Timestamp { return Timestamp{1000*sec + s*sec, s * sec, "b1"} }
 	b2 := func(s scheduler.Time) Timestamp { return Timestamp{2000*sec + s*sec, s * sec, "b2"} }
 	first := LogHistory{}.Next(b1(5))
 	restarted := first.WithCompleteLog().Next(b2(3))
-	setBack, movedBack := Timestamp{945 * sec, 9 * sec, "b1"}, Timestamp{941 * sec, 5 * sec, "b1"}
+	nowSetBack, sinceSetBack := Timestamp{945 * sec, 9 * sec, "b1"}, Timestamp{941 * sec, 5 * sec, "b1"}
 	for _, tc := range []struct {
 		name     string
 		got      LogHistory
@@ -225,7 +225,7 @@
 		{"system restarted", restarted, b2(3), recovery.LogSynced},
 		{"system restarted, second start", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
 		{"system restarted, all reports", restarted.WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
-		{"the clock was set back a minute", first.Next(setBack), movedBack, recovery.LogNone},
+		{"the clock was set back a minute", first.Next(nowSetBack), sinceSetBack, recovery.LogNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			testutil.Expect(t, tc.got.SendsRecordedSince == tc.since && tc.got.Coverage == tc.coverage, "%+v", tc.got)
