--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -138,9 +138,9 @@
 }
 
 // handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. An idempotent attempt
-// is cancelled: its container was placed elsewhere or its request was answered, so no client needs the copy. An attempt
-// that must not run twice is cancelled if another attempt has placed the container. Otherwise it is adopted once the
-// request of the container is closed.
+// is cancelled: its container was placed elsewhere or its request was answered, so the copy would occupy room that no
+// client needs. An attempt that must not run twice is cancelled if another attempt has placed the container. If no
+// attempt has placed the container, it is adopted once the request of the container is closed.
 func (r *Reconciler) handleUnexpectedAttempt(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
 	switch {
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -20,7 +20,7 @@
 // Steps after a restart.
 const (
 	StepRequest ResumeStep = iota // request its placement
-	StepLookup                    // look up its key at the scheduler that received the request, which knows or finds out
+	StepLookup                    // look up its key at the scheduler that got the request, which knows or finds out
 	StepFence                     // restart the fencing delay, as it is not known how much of it had passed
 	StepNone
 )
--- a/internal/schedulerd/recovery/unresolved.go
+++ b/internal/schedulerd/recovery/unresolved.go
@@ -9,7 +9,7 @@
 // unresolvedAttempt is an attempt that may run although no machine has confirmed it.
 type unresolvedAttempt struct {
 	attempt Attempt
-	since   scheduler.Time // time at which the outcome became unknown
+	since   scheduler.Time // time at which the attempt became unresolved
 }
 
 // unresolvedAttempts holds unresolved attempts by idempotency key. The attempts of a key are in the order in which they
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// Restore records the sends of earlier incarnations of the scheduler. It takes the incarnations of the machines.
+// Restore records the sends of earlier incarnations of the scheduler. The map incarnations holds the incarnation of
+// each machine.
 func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
 	for _, machine := range r.Snapshot.Machines {
 		if len(machine.RecentSends) > 0 {
@@ -129,14 +130,14 @@
 // sendsReaching returns the sends of the last two windows that may have reached a start, and drops the unrecorded sends
 // to the machine.
 func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, start MachineStart) *SlowStartSends {
-	unreachable := start.StartedAt - l.window/transitDivisor - 1 // sends up to this time cannot have reached the start
+	tooEarly := start.StartedAt - l.window/transitDivisor - 1 // sends up to this time cannot have reached the start
 	sends := l.recordedSends[id]
 	if sends == nil {
 		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation}
 	} else if sends.Incarnation != start.Incarnation {
-		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation, Times: after(unreachable, sends.Times)}
+		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation, Times: after(tooEarly, sends.Times)}
 	}
-	sends.Times = l.recent(now, append(sends.Times, after(unreachable, l.unrecordedSends[id])...))
+	sends.Times = l.recent(now, append(sends.Times, after(tooEarly, l.unrecordedSends[id])...))
 	delete(l.unrecordedSends, id)
 	return sends
 }
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -104,8 +104,8 @@
 			_, again := ledger.IncarnationObserved(102*sec, "m", after)
 			testutil.Expect(t, !again, "recorded twice")
 			ledger.Expire(102*sec+2*window, listedWith(MachineStart{9, 0}))
-			if recorded, unrecorded := len(ledger.recordedSends), len(ledger.unrecordedSends); recorded+unrecorded != 0 {
-				t.Errorf("after two windows %d records and %d unrecorded entries are left", recorded, unrecorded)
+			if records, others := len(ledger.recordedSends), len(ledger.unrecordedSends); records+others != 0 {
+				t.Errorf("after two windows %d records and %d unrecorded entries are left", records, others)
 			}
 		})
 	}
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -39,7 +39,7 @@
 	EjectionTime      Time              `cbor:"Rest"`      // length of the next ejection
 	SelfDrainingUntil Time              `cbor:"ShutUntil"`
 	FailureEvidence   []FailureEvidence `cbor:"Doubts"` // by traffic class
-	RecentSends       []Time            `cbor:"Cold"`   // attempts and probes of the last slow-start window
+	RecentSends       []Time            `cbor:"Cold"`   // sends in the last slow-start window, earliest first
 }
 
 // TrafficClass holds the statistics of a workload class or a tenant. A machine may fail one class and serve the others.
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -80,7 +80,7 @@
 	ProbesAllowed      bool            `cbor:"MayProbe"`
 	MaxAttempts        int             `cbor:"MostBids"`
 	AnswerGrace        Time            `cbor:"AnswerGrace"` // time after the deadline in which an answer counts
-	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the list service sends only after WatchMachineList
+	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list is sent only after WatchMachineList
 	ResyncInterval     Time            `cbor:"AskWithin"`   // longest time until the list has to be polled
 	SlowStartPeriod    Time            `cbor:"ColdFor"`     // length of slow start after the start of a machine
 	SlowStartWindow    Time            `cbor:"ColdWindow"`
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -90,7 +90,7 @@
 	r.reserve(c, m, now)
 }
 
-// endAttempt releases the reservations of the container's attempt and returns the state of the attempt before.
+// endAttempt releases the reservations of the container's attempt and returns the state that the attempt had before.
 func (r *containerRegistry) endAttempt(c *container) endedAttempt {
 	attempt := endedAttempt{
 		container: c,
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -12,7 +12,7 @@
 }
 
 // recordAccepted records an acceptance as a success of the machine. The acceptance also shows that earlier failures of
-// the container were caused by the machines, so they count against those.
+// the container were caused by the machines, so the failures count against these machines.
 func (r *outcomeRecorder) recordAccepted(c *container, now Time) {
 	c.machine.contact.recordContact(now)
 	r.attributeFailures(c, now)
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -1,7 +1,7 @@
 package scheduler
 
 const (
-	probeRetryInterval = baseEjectionTime / 2 // time from a failed probe of an ejected machine to the next
+	probeRetryInterval = baseEjectionTime / 2 // time from a failed probe of an ejected machine to the next probe
 	silenceBeforeProbe = Second / 2           // age of an unanswered attempt from which its silent machine is probed
 )
 
