--- a/internal/adoptions/tracker.go
+++ b/internal/adoptions/tracker.go
@@ -8,9 +8,9 @@
 // Tracker records whether containers of a service were adopted since a waiting attempt was decided. The adoptions by
 // service are cleared when no attempt waits, so that their number stays small. The zero value is ready for use.
 type Tracker struct {
-	total     int            // adoptions so far
-	byService map[string]int // value of total after the last adoption of the service
-	waiting   int            // number of waiting attempts
+	total           int            // adoptions so far
+	byService       map[string]int // value of total after the last adoption of the service
+	waitingAttempts int
 }
 
 // Count returns the number of adoptions so far, to be passed to a later call of Since.
@@ -19,7 +19,7 @@
 // Adopted records that a container of a service was adopted.
 func (t *Tracker) Adopted(service string) {
 	t.total++
-	if t.waiting == 0 {
+	if t.waitingAttempts == 0 {
 		return
 	}
 	if t.byService == nil {
@@ -33,12 +33,12 @@
 func (t *Tracker) Since(service string, count int) bool { return t.byService[service] > count }
 
 // AttemptWaiting records that an attempt was decided and waits to be sent.
-func (t *Tracker) AttemptWaiting() { t.waiting++ }
+func (t *Tracker) AttemptWaiting() { t.waitingAttempts++ }
 
 // AttemptsDone records that n attempts no longer wait.
 func (t *Tracker) AttemptsDone(n int) {
-	t.waiting -= n
-	if t.waiting == 0 {
+	t.waitingAttempts -= n
+	if t.waitingAttempts == 0 {
 		clear(t.byService)
 	}
 }
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -16,9 +16,9 @@
 // flakyListService is a list service that can be made unavailable. It reports the version since which updates are
 // requested.
 type flakyListService struct {
-	unavailable atomic.Bool
-	requested   chan int64
-	list        *protocol.MachineListUpdate
+	unavailable       atomic.Bool
+	requestedVersions chan int64
+	list              *protocol.MachineListUpdate
 }
 
 func (l *flakyListService) serve(c net.Conn) {
@@ -31,7 +31,7 @@
 			return false
 		}
 		if w, ok := f.(*protocol.WatchMachineList); ok {
-			l.requested <- w.SinceVersion
+			l.requestedVersions <- w.SinceVersion
 			frames.Send(c, l.list)
 		}
 		return true
@@ -41,7 +41,7 @@
 func (l *flakyListService) awaitRequest(t *testing.T, since int64) {
 	t.Helper()
 	select {
-	case got := <-l.requested:
+	case got := <-l.requestedVersions:
 		testutil.Require(t, got == since, "updates since %d were requested, want since %d", got, since)
 	case <-time.After(testTimeout):
 		t.Fatalf("the list is not requested within %v", testTimeout)
@@ -53,7 +53,7 @@
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
-	service := &flakyListService{requested: make(chan int64, 100), list: fullList(5, entry)}
+	service := &flakyListService{requestedVersions: make(chan int64, 100), list: fullList(5, entry)}
 	settings := testConfig(t)
 	settings.ConnectTimeout = 10 * eventloop.Second
 	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -72,7 +72,7 @@
 	return &peerError{cause: errUnexpectedFrame, detail: name, text: name + " is not for " + receiver}
 }
 
-// withDuration adds to an error how long its condition has lasted.
+// withDuration adds the duration of the reported condition to an error.
 func withDuration(err error, duration eventloop.Tick) error {
 	return fmt.Errorf("%w for %d ms", err, duration/eventloop.Millisecond)
 }
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -139,7 +139,7 @@
 		server.Stop()
 		testutil.ExpectNoError(t, server.Run())
 	}()
-	loaded := server.state.loaded
+	loaded := server.state.loadedState
 	attempts := []reconcile.Attempt{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
 	for _, record := range []struct {
 		name      string
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -36,17 +36,17 @@
 // model is a server with two machines, a list service and a client, connected over loopback. The checker observes the
 // frames.
 type model struct {
-	t         *testing.T
-	server    *Server
-	checker   *modelcheck.Checker
-	list      *rawListener
-	version   int64
-	machines  map[string]*modelMachine
-	client    *rawConn
-	submitted int
-	answers   map[string]int  // number of answers, by container
-	cancelled map[string]bool // containers answered before their cancel: later replies answer the cancel
-	adopted   int             // number of attempts that the checker observed as adopted
+	t                    *testing.T
+	server               *Server
+	checker              *modelcheck.Checker
+	list                 *rawListener
+	version              int64
+	machines             map[string]*modelMachine
+	client               *rawConn
+	submittedCount       int
+	answers              map[string]int  // number of answers, by container
+	answeredBeforeCancel map[string]bool // containers answered before their cancel: later replies answer the cancel
+	adoptedCount         int             // number of attempts that the checker observed as adopted
 }
 
 var modelMachineNames = []string{"a", "b"}
@@ -57,11 +57,11 @@
 func newModel(t *testing.T, settings *config.Scheduler, wrap wrapper) *model {
 	t.Helper()
 	w := &model{
-		t:         t,
-		list:      listenRaw(t),
-		machines:  map[string]*modelMachine{},
-		answers:   map[string]int{},
-		cancelled: map[string]bool{},
+		t:                    t,
+		list:                 listenRaw(t),
+		machines:             map[string]*modelMachine{},
+		answers:              map[string]int{},
+		answeredBeforeCancel: map[string]bool{},
 	}
 	for i, name := range modelMachineNames {
 		m := &modelMachine{rawListener: listenRaw(t), incarnation: 1, attempts: map[uint64]*modelAttempt{}}
@@ -153,7 +153,7 @@
 		return c == nil && (end == nil || end.closed)
 	}
 	read, written := c.BytesTransferred()
-	return c.IsOpen() && read == end.written && written == end.read && c.PendingOutput() == 0
+	return c.IsOpen() && read == end.bytesWritten && written == end.bytesRead && c.PendingOutput() == 0
 }
 
 func (w *model) handleListFrame(now scheduler.Time, f protocol.Frame) {
@@ -214,8 +214,8 @@
 		a := m.attempts[number]
 		inventory.Containers = append(inventory.Containers, a.InventoryItem)
 		if a.checkerID == "" {
-			w.adopted++
-			a.checkerID = fmt.Sprint("found ", w.adopted)
+			w.adoptedCount++
+			a.checkerID = fmt.Sprint("found ", w.adoptedCount)
 			w.observe(now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
 				ID:      scheduler.ContainerID(a.checkerID),
 				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass,
@@ -257,7 +257,7 @@
 // checkReply passes an answer to the client to the checker.
 func (w *model) checkReply(now scheduler.Time, f protocol.Frame) {
 	reply, ok := f.(*protocol.PlacementReply)
-	if !ok || w.cancelled[reply.ContainerID] {
+	if !ok || w.answeredBeforeCancel[reply.ContainerID] {
 		return
 	}
 	id := scheduler.ContainerID(reply.ContainerID)
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -48,9 +48,9 @@
 	m := w.machines[subject]
 	switch verb {
 	case stepSubmit:
-		return w.submitted < modelContainers
+		return w.submittedCount < modelContainers
 	case stepCancel:
-		return w.submitted > int(subject[0]-'x')
+		return w.submittedCount > int(subject[0]-'x')
 	case stepBreak:
 		return m.connected()
 	case stepDrain:
@@ -113,10 +113,10 @@
 
 func (w *model) submit(now scheduler.Time) {
 	const timeout = 600 * scheduler.Second
-	spec := specFor(containerName(w.submitted), w.submitted)
+	spec := specFor(containerName(w.submittedCount), w.submittedCount)
 	request := requestFromSpec(&spec)
 	request.Deadline = now + timeout
-	w.submitted++
+	w.submittedCount++
 	w.observe(now, scheduler.RequestReceived{PlacementRequest: request})
 	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: spec})
 }
@@ -125,7 +125,7 @@
 	if w.answers[id] == 0 {
 		w.observe(now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(id)})
 	}
-	w.cancelled[id] = w.answers[id] > 0
+	w.answeredBeforeCancel[id] = w.answers[id] > 0
 	w.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: "k-" + id})
 }
 
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	for i := range w.submitted {
+	for i := range w.submittedCount {
 		if id := containerName(i); w.answers[id] != 1 {
 			w.checker.Violations = append(w.checker.Violations,
 				fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -19,10 +19,10 @@
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
 
-	byID         map[scheduler.MachineID]*machine
-	list         machineListCache
-	newlyReady   []*machine // machines that sent their inventory in this iteration
-	lastProbeSeq uint64
+	byID               map[scheduler.MachineID]*machine
+	list               machineListCache
+	newlyReadyMachines []*machine // machines that sent their inventory in this iteration
+	lastProbeSeq       uint64
 }
 
 // find returns nil if the machine is not known.
@@ -75,14 +75,16 @@
 }
 
 // addNewlyReady marks a machine whose queue is sent once the reconciler has processed its inventory.
-func (r *machineRegistry) addNewlyReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
+func (r *machineRegistry) addNewlyReady(m *machine) {
+	r.newlyReadyMachines = append(r.newlyReadyMachines, m)
+}
 
 // sendQueued sends the queued attempts of machines whose inventory the reconciler has just processed.
 func (r *machineRegistry) sendQueued() {
-	for _, m := range r.newlyReady {
+	for _, m := range r.newlyReadyMachines {
 		m.sendQueued()
 	}
-	r.newlyReady = nil
+	r.newlyReadyMachines = nil
 }
 
 func (r *machineRegistry) checkTimeouts(now eventloop.Tick) {
--- a/internal/schedulerd/overload/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -30,10 +30,10 @@
 // recordedLoad generates a seeded load on one limiter: light load alternates with floods of requests and client
 // retries.
 type recordedLoad struct {
-	rng   *rand.Rand
-	now   scheduler.Time
-	open  []int // workload classes of admitted requests
-	flood bool
+	rng         *rand.Rand
+	now         scheduler.Time
+	openClasses []int // workload classes of admitted requests
+	flood       bool
 }
 
 func (s *recordedLoad) run(d *golden.Digest, maxOpen int) {
@@ -56,7 +56,7 @@
 			foldActions(d, s.now, limiter, actions)
 			for _, a := range actions {
 				if _, ok := a.(Admit); ok {
-					s.open = append(s.open, s.rng.IntN(4))
+					s.openClasses = append(s.openClasses, s.rng.IntN(4))
 				}
 			}
 		}
@@ -80,21 +80,21 @@
 
 func (s *recordedLoad) addEvent(events []Event) []Event {
 	switch n := s.rng.IntN(10); {
-	case n < 6 && (s.flood || len(s.open) < 12):
+	case n < 6 && (s.flood || len(s.openClasses) < 12):
 		client := fmt.Sprint("c", s.rng.IntN(30))
 		if s.rng.IntN(3) == 0 {
 			client = "busy"
 		}
 		class := s.rng.IntN(4)
 		return append(events, RequestReceived{Client: client, WorkloadClass: class, ClientRetry: s.rng.IntN(3) == 0})
-	case n < 9 && len(s.open) > 0:
+	case n < 9 && len(s.openClasses) > 0:
 		elapsed := scheduler.Time(s.rng.IntN(1000))
 		if s.flood {
 			elapsed = scheduler.Time(s.rng.IntN(30_000))
 		}
-		events = append(events, RequestStarted{WorkloadClass: s.open[0], Elapsed: elapsed})
-		s.open = s.open[1:]
-	case len(s.open) > 0 || s.rng.IntN(20) == 0:
+		events = append(events, RequestStarted{WorkloadClass: s.openClasses[0], Elapsed: elapsed})
+		s.openClasses = s.openClasses[1:]
+	case len(s.openClasses) > 0 || s.rng.IntN(20) == 0:
 		events = append(events, RequestFailed{WorkloadClass: s.rng.IntN(5)})
 	}
 	return events
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -14,7 +14,7 @@
 type staleCase struct {
 	name        string
 	change      func(h *harness, address string) // nil: no change
-	incarnation uint64                           // in the hello of the machine
+	incarnation uint64                           // incarnation in the hello of the machine
 	sent        bool                             // whether the attempt is sent
 }
 
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -15,12 +15,12 @@
 
 // rawConn is the test end of a connection. Its reads do not block.
 type rawConn struct {
-	t       *testing.T
-	fd      int
-	reader  protocol.Reader
-	written int // bytes written
-	read    int // bytes read
-	closed  bool
+	t            *testing.T
+	fd           int
+	reader       protocol.Reader
+	bytesWritten int
+	bytesRead    int
+	closed       bool
 }
 
 // drain reads all available frames. It reports whether there was any input, which includes the end of the connection.
@@ -36,7 +36,7 @@
 			c.close()
 			return found
 		}
-		c.read += n
+		c.bytesRead += n
 		if err := c.reader.Feed(buffer[:n], func(f protocol.Frame) error { handle(f); return nil }); err != nil {
 			c.t.Error(err)
 			c.close()
@@ -51,7 +51,7 @@
 	}
 	n, err := unix.Write(c.fd, frames.Encode(c.t, f))
 	if err == nil { // an error means that the peer has closed the connection
-		c.written += n
+		c.bytesWritten += n
 	}
 }
 
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -17,15 +17,15 @@
 // recordedSequence generates a seeded sequence of events for one reconciler, many of them in response to its actions.
 // It folds each action into a digest.
 type recordedSequence struct {
-	rng        *rand.Rand
-	digest     *golden.Digest
-	reconciler *Reconciler
-	now        scheduler.Time
-	ids        int // number of container ids to choose from
-	admitted   []scheduler.PlacementRequest
-	attempts   []Attempt
-	connecting []scheduler.MachineID
-	lastNumber uint64
+	rng                *rand.Rand
+	digest             *golden.Digest
+	reconciler         *Reconciler
+	now                scheduler.Time
+	ids                int // number of container ids to choose from
+	admittedRequests   []scheduler.PlacementRequest
+	attempts           []Attempt
+	connectingMachines []scheduler.MachineID
+	lastNumber         uint64
 }
 
 func (s *recordedSequence) machine() scheduler.MachineID {
@@ -53,7 +53,7 @@
 	return r
 }
 
-// attempt returns an attempt, in most cases that of an earlier event.
+// attempt returns an attempt, in most cases the attempt of an earlier event.
 func (s *recordedSequence) attempt() Attempt {
 	if len(s.attempts) > 0 && s.rng.IntN(4) > 0 {
 		a := s.attempts[s.rng.IntN(len(s.attempts))]
@@ -86,10 +86,10 @@
 
 func (s *recordedSequence) accepted() Event {
 	r := s.request()
-	if len(s.admitted) > 0 && s.rng.IntN(10) > 0 {
-		n := s.rng.IntN(len(s.admitted))
-		r = s.admitted[n]
-		s.admitted = append(s.admitted[:n], s.admitted[n+1:]...)
+	if len(s.admittedRequests) > 0 && s.rng.IntN(10) > 0 {
+		n := s.rng.IntN(len(s.admittedRequests))
+		r = s.admittedRequests[n]
+		s.admittedRequests = append(s.admittedRequests[:n], s.admittedRequests[n+1:]...)
 	}
 	s.lastNumber++
 	a := Attempt{
@@ -104,9 +104,9 @@
 }
 
 func (s *recordedSequence) event() Event {
-	if len(s.connecting) > 0 && s.rng.IntN(3) == 0 { // the outcome of a ConnectMachine
-		m := s.connecting[0]
-		s.connecting = s.connecting[1:]
+	if len(s.connectingMachines) > 0 && s.rng.IntN(3) == 0 { // the outcome of a ConnectMachine
+		m := s.connectingMachines[0]
+		s.connectingMachines = s.connectingMachines[1:]
 		if s.rng.IntN(3) == 0 {
 			return s.report(m)
 		}
@@ -174,7 +174,7 @@
 		d.Add(1, now, a.Client, a.Reason.Error())
 	case Admit:
 		d.Add(2, now, a.Client, a.Request)
-		s.admitted = append(s.admitted, a.Request)
+		s.admittedRequests = append(s.admittedRequests, a.Request)
 	case Reject:
 		d.Add(3, now, a.Client, a.ID, a.Reason.Error(), a.RetryAfter)
 	case AlreadyRunning:
@@ -193,7 +193,7 @@
 		d.Add(10, now, a.ID, a.Confirmed)
 	case ConnectMachine:
 		d.Add(11, now, a.Machine)
-		s.connecting = append(s.connecting, a.Machine)
+		s.connectingMachines = append(s.connectingMachines, a.Machine)
 	case RecoveryComplete:
 		d.Add(12, now)
 	case AllMachinesReported:
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -12,7 +12,7 @@
 
 // machineReported compares a machine's report with the known containers. Known containers that the report does not name
 // are lost. Unknown attempts in the report were made by an earlier incarnation of the scheduler, or were given up by
-// this one.
+// this incarnation.
 func (r *Reconciler) machineReported(e MachineReported) {
 	completed := r.trackReport(e.Machine)
 	r.reconnects.end(e.Machine)
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -23,7 +23,7 @@
 }
 
 // entryRecord is a stored protocol.MachineEntry. CBOR encodes it as an array, so that the order of the fields is part
-// of the format. The JSON names are those of the export.
+// of the format. The JSON names are the names in the export.
 type entryRecord struct {
 	_           struct{}              `cbor:",toarray"`
 	Machine     string                `                json:"Machine"`
--- a/internal/schedulerd/recovery/check.go
+++ b/internal/schedulerd/recovery/check.go
@@ -10,7 +10,7 @@
 	if idempotency == scheduler.Idempotent {
 		return nil
 	}
-	for _, u := range t.unresolved[r.IdempotencyKey] {
+	for _, u := range t.unresolvedAttempts[r.IdempotencyKey] {
 		if idempotency == scheduler.AtMostOnce || t.fromEarlierIncarnation(u) {
 			return &MayRunError{Key: r.IdempotencyKey, Machine: u.attempt.Machine, SilentFor: t.now - u.since}
 		}
@@ -44,7 +44,7 @@
 
 // CheckKey returns a *MayRunError or *RecoveringError if it is not known whether a container runs under a key.
 func (t *Tracker) CheckKey(key string) error {
-	if attempts := t.unresolved[key]; len(attempts) > 0 {
+	if attempts := t.unresolvedAttempts[key]; len(attempts) > 0 {
 		return &MayRunError{Key: key, Machine: attempts[0].attempt.Machine, SilentFor: -1}
 	}
 	if !t.completedEmitted && !t.allReported() {
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -21,7 +21,7 @@
 const (
 	StepRequest ResumeStep = iota // request its placement
 	StepLookup                    // look up its key at the scheduler that got the request, which knows or finds out
-	StepFence                     // restart the fencing delay, as it is not known how much of it had passed
+	StepFence                     // restart the fencing delay, because its elapsed part is not known
 	StepNone
 )
 
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -29,7 +29,7 @@
 	completedEmitted   bool // Completed was emitted
 	allReportedEmitted bool // AllMachinesReported was emitted
 	actions            []Action
-	unresolved         unresolvedAttempts
+	unresolvedAttempts unresolvedAttempts
 	queries            machineQueries
 }
 
@@ -37,10 +37,10 @@
 // Idempotency is indexed by workload class; an unknown class counts as at-most-once.
 func NewTracker(coverage LogCoverage, idempotency []scheduler.Idempotency) *Tracker {
 	return &Tracker{
-		coverage:    coverage,
-		idempotency: idempotency,
-		startedAt:   notStarted,
-		unresolved:  unresolvedAttempts{},
+		coverage:           coverage,
+		idempotency:        idempotency,
+		startedAt:          notStarted,
+		unresolvedAttempts: unresolvedAttempts{},
 	}
 }
 
@@ -60,7 +60,7 @@
 func (t *Tracker) apply(e Event) {
 	switch e := e.(type) {
 	case AttemptRestored:
-		t.unresolved.add(e.Attempt, t.now)
+		t.unresolvedAttempts.add(e.Attempt, t.now)
 	case AttemptOutcomeUnknown:
 		t.attemptOutcomeUnknown(e.Attempt)
 	case AttemptNotRunning:
@@ -94,7 +94,7 @@
 	if t.idempotencyOf(a.Request.WorkloadClass) == scheduler.Idempotent {
 		return // a second copy does no harm
 	}
-	t.unresolved.add(a, t.now)
+	t.unresolvedAttempts.add(a, t.now)
 	t.queries.schedule(a.Machine, t.now)
 }
 
@@ -107,7 +107,7 @@
 
 // resolve resolves the matching attempts of a key.
 func (t *Tracker) resolve(key string, match func(Attempt) bool) {
-	for _, a := range t.unresolved.remove(key, match) {
+	for _, a := range t.unresolvedAttempts.remove(key, match) {
 		t.emit(AttemptResolved{a})
 	}
 }
@@ -116,7 +116,7 @@
 func (t *Tracker) resolveMachine(id scheduler.MachineID) {
 	t.queries.finish(id)
 	onMachine := func(a Attempt) bool { return a.Machine == id }
-	for _, key := range t.unresolved.keysOn(id) {
+	for _, key := range t.unresolvedAttempts.keysOn(id) {
 		t.resolve(key, onMachine)
 	}
 }
@@ -124,7 +124,7 @@
 // machinesListed resolves the attempts on machines that a full snapshot does not name, and schedules queries to the
 // machines of the first list. A list restored from disk is no evidence that a machine is gone.
 func (t *Tracker) machinesListed(e MachinesListed) {
-	awaited := t.unresolved.machines()
+	awaited := t.unresolvedAttempts.machines()
 	if e.FullSnapshot {
 		t.resolveUnlisted(awaited, e.Machines)
 	}
@@ -201,4 +201,4 @@
 }
 
 // UnresolvedKeys returns the number of idempotency keys that wait for a machine to report.
-func (t *Tracker) UnresolvedKeys() int { return len(t.unresolved) }
+func (t *Tracker) UnresolvedKeys() int { return len(t.unresolvedAttempts) }
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -31,11 +31,11 @@
 }
 
 // openAttempts returns the attempts of earlier incarnations whose end is not in the log.
-func (st *stateStore) openAttempts() []reconcile.Attempt { return st.loaded.attempts }
+func (st *stateStore) openAttempts() []reconcile.Attempt { return st.loadedState.attempts }
 
 // restoreLimiter restores the concurrency limit if the snapshot has the same workload classes and tenants.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp, limiter *overload.Limiter) {
-	snapshot := st.loaded.snapshot
+	snapshot := st.loadedState.snapshot
 	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
 		!slices.Equal(snapshot.ClassNames, st.classNames()) {
 		return
@@ -44,7 +44,7 @@
 }
 
 func (st *stateStore) restoredList(now warmstart.Timestamp) (version int64, entries []protocol.MachineEntry) {
-	snapshot := st.loaded.snapshot
+	snapshot := st.loadedState.snapshot
 	if snapshot == nil {
 		return 0, nil
 	}
@@ -85,12 +85,12 @@
 	for _, message := range restored.Messages {
 		st.logDecision(message.Text, message.Attributes)
 	}
-	st.loaded = loadedState{}
+	st.loadedState = loadedState{}
 }
 
-func (st *stateStore) persistedState() warmstart.Persisted {
-	p := warmstart.Persisted{History: st.loaded.history, Sends: st.loaded.sends}
-	if snapshot := st.loaded.snapshot; snapshot != nil {
+func (st *stateStore) persistedState() warmstart.PersistedState {
+	p := warmstart.PersistedState{History: st.loadedState.history, Sends: st.loadedState.sends}
+	if snapshot := st.loadedState.snapshot; snapshot != nil {
 		p.TakenAt, p.Snapshot = snapshot.TakenAt, snapshot.Learned
 		p.Incarnations, p.ClassNames = snapshot.Incarnations, snapshot.ClassNames
 	}
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -17,10 +17,10 @@
 // state in a snapshot file.
 type stateStore struct {
 	*journal
-	state  storeState
-	dir    stateDir
-	loaded loadedState // cleared once it is restored
-	writer snapshotWriter
+	state       storeState
+	dir         stateDir
+	loadedState loadedState // cleared once it is restored
+	writer      snapshotWriter
 
 	ledger *warmstart.SendLedger
 	// pendingSends are sends to incarnations that are not listed yet. They are kept for two slow-start windows.
@@ -74,11 +74,11 @@
 	if err := st.load(); err != nil {
 		return errors.Join(err, st.closeLog())
 	}
-	st.beginIncarnation(st.loaded.history)
+	st.beginIncarnation(st.loadedState.history)
 	st.transition(storeFolderLoaded)
 	st.log.Info("state loaded", "folder", st.config.StateDir,
 		"records", logStats.Records, "groups", logStats.Groups, "bytes", logStats.Bytes,
-		"truncated_bytes", logStats.TruncatedBytes, "open_attempts", len(st.loaded.attempts),
+		"truncated_bytes", logStats.TruncatedBytes, "open_attempts", len(st.loadedState.attempts),
 		"log_coverage", st.coverage())
 	return nil
 }
@@ -90,12 +90,12 @@
 		return err
 	}
 	if len(histories) > 0 { // the log holds at most one
-		st.loaded.history = histories[0]
+		st.loadedState.history = histories[0]
 	}
-	if st.loaded.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
+	if st.loadedState.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
 		return err
 	}
-	if st.loaded.sends, err = loadAll[warmstart.SlowStartSends](records, SendKind); err != nil {
+	if st.loadedState.sends, err = loadAll[warmstart.SlowStartSends](records, SendKind); err != nil {
 		return err
 	}
 	return st.loadSnapshot()
@@ -125,7 +125,7 @@
 	case err != nil:
 		st.log.Warn("unreadable snapshot ignored", "error", err)
 	case snapshot != nil:
-		st.loaded.snapshot = snapshot
+		st.loadedState.snapshot = snapshot
 	default:
 		st.loadLegacyList()
 	}
@@ -140,7 +140,7 @@
 		st.log.Warn("unreadable legacy machine list ignored", "error", err)
 	case snapshot != nil:
 		st.log.Info("legacy machine list loaded, it is stored in the state folder from now on", "file", file)
-		st.loaded.snapshot = snapshot
+		st.loadedState.snapshot = snapshot
 	}
 }
 
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -27,10 +27,10 @@
 
 // stats holds the counters of a server.
 type stats struct {
-	submitted               int
-	running                 int
-	adopted                 int
-	undelivered             int // frames that could not be sent to a client
+	submissions             int
+	runningContainers       int
+	adoptions               int
+	undeliveredFrames       int // frames that could not be sent to a client
 	attempts                int
 	verdicts                map[protocol.Verdict]int
 	outcomes                map[string]int
@@ -50,22 +50,22 @@
 	}
 }
 
-func (s *stats) countSubmission() { s.submitted++ }
+func (s *stats) countSubmission() { s.submissions++ }
 
 func (s *stats) countOutcome(name string) { s.outcomes[name]++ }
 
 func (s *stats) countAnswer(v protocol.Verdict) { s.verdicts[v]++ }
 
-func (s *stats) countUndelivered() { s.undelivered++ }
+func (s *stats) countUndelivered() { s.undeliveredFrames++ }
 
-func (s *stats) countStarted() { s.running++ }
+func (s *stats) countStarted() { s.runningContainers++ }
 
-func (s *stats) countEnded() { s.running-- }
+func (s *stats) countEnded() { s.runningContainers-- }
 
 // countAdopted counts an adopted container, which is already running.
 func (s *stats) countAdopted() {
-	s.running++
-	s.adopted++
+	s.runningContainers++
+	s.adoptions++
 }
 
 // countAttempt counts an offer that was sent.
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -83,16 +83,16 @@
 }
 
 func (s *stats) addContainers(list *statList) {
-	list.addCount("containers running", s.running)
-	list.addCount("containers taken over", s.adopted)
+	list.addCount("containers running", s.runningContainers)
+	list.addCount("containers taken over", s.adoptions)
 }
 
 func (s *stats) addPlacements(list *statList) {
-	list.addCount("submissions", s.submitted)
+	list.addCount("submissions", s.submissions)
 	for v := protocol.VerdictPlaced; v <= protocol.VerdictNotAdmitted; v++ {
 		list.addCount(v.String(), s.verdicts[v])
 	}
-	list.addCount("answers nobody heard", s.undelivered)
+	list.addCount("answers nobody heard", s.undeliveredFrames)
 	list.addCount("bids", s.attempts)
 	for _, name := range countedOutcomes {
 		list.addCount("bids "+name, s.outcomes[name])
--- a/internal/schedulerd/warmstart/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -67,8 +67,8 @@
 }
 
 // recordedPersisted returns the state that an earlier incarnation left, and the machine list at the restart.
-func recordedPersisted(rng *rand.Rand) (Persisted, map[scheduler.MachineID]MachineStart) {
-	p := Persisted{
+func recordedPersisted(rng *rand.Rand) (PersistedState, map[scheduler.MachineID]MachineStart) {
+	p := PersistedState{
 		TakenAt:      recordedTimestamp(rng),
 		ClassNames:   []string{"w", "c"},
 		Incarnations: map[scheduler.MachineID]uint64{},
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -47,7 +47,7 @@
 
 // Restore records the sends of earlier incarnations of the scheduler. The map incarnations holds the incarnation of
 // each machine.
-func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
+func (l *SendLedger) Restore(r RestoredState, incarnations map[scheduler.MachineID]uint64) {
 	for _, machine := range r.Snapshot.Machines {
 		if len(machine.RecentSends) > 0 {
 			l.recordedSends[machine.Machine] = &SlowStartSends{
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -9,8 +9,8 @@
 	"glenport/scheduler"
 )
 
-// Persisted is the state that earlier incarnations left on disk.
-type Persisted struct {
+// PersistedState is the state that earlier incarnations left on disk.
+type PersistedState struct {
 	TakenAt      Timestamp // time of the snapshot; zero if there is none
 	Snapshot     scheduler.Snapshot
 	Incarnations map[scheduler.MachineID]uint64 // incarnations of the machines at the time of the snapshot
@@ -26,8 +26,8 @@
 	StartedAt   scheduler.Time // by the clock of this incarnation of the scheduler; 0: long ago
 }
 
-// Restored is the state that the new incarnation starts with.
-type Restored struct {
+// RestoredState is the state that the new incarnation starts with.
+type RestoredState struct {
 	Snapshot     scheduler.Snapshot
 	PendingSends []SlowStartSends // sends to machine starts that the machine list does not name yet
 	Messages     []Message
@@ -35,10 +35,10 @@
 
 // Restore weights the persisted state by its age. It takes the workload classes and tenants of the present
 // configuration as classNames, and the window of the slow-start budget.
-func Restore(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, classNames []string,
+func Restore(now Timestamp, p PersistedState, machines map[scheduler.MachineID]MachineStart, classNames []string,
 	window scheduler.Time,
-) Restored {
-	r := Restored{Snapshot: scheduler.Snapshot{SendsKnownSince: now.Clock}}
+) RestoredState {
+	r := RestoredState{Snapshot: scheduler.Snapshot{SendsKnownSince: now.Clock}}
 	sameClasses := slices.Equal(classNames, p.ClassNames)
 	if !sameClasses {
 		p.Snapshot = withoutClasses(p.Snapshot)
@@ -53,7 +53,7 @@
 	return r
 }
 
-func (r *Restored) message(text string, attrs ...slog.Attr) {
+func (r *RestoredState) message(text string, attrs ...slog.Attr) {
 	r.Messages = append(r.Messages, Message{Text: text, Attributes: attrs})
 }
 
@@ -76,7 +76,11 @@
 }
 
 // restoreSnapshot restores the learned state, weighted by its age.
-func (r *Restored) restoreSnapshot(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart) {
+func (r *RestoredState) restoreSnapshot(
+	now Timestamp,
+	p PersistedState,
+	machines map[scheduler.MachineID]MachineStart,
+) {
 	elapsed := now.Since(p.TakenAt)
 	if elapsed.Age < 0 {
 		r.message("wall clock went back during a restart of the system; snapshot not restored",
@@ -94,7 +98,7 @@
 		weightAttr("full_weight", Weight(FullRatio, elapsed.Age)))
 }
 
-func (r *Restored) restoreRatios(elapsed Elapsed, s scheduler.Snapshot) {
+func (r *RestoredState) restoreRatios(elapsed Elapsed, s scheduler.Snapshot) {
 	lossWeight, fullWeight := Weight(LossRatios, elapsed.Age), Weight(FullRatio, elapsed.Age)
 	for _, class := range s.TrafficClasses {
 		class.LossRatio *= lossWeight
@@ -105,7 +109,11 @@
 }
 
 // restoreMachines restores the evidence against machines that have not restarted since the snapshot.
-func (r *Restored) restoreMachines(elapsed Elapsed, p Persisted, machines map[scheduler.MachineID]MachineStart) {
+func (r *RestoredState) restoreMachines(
+	elapsed Elapsed,
+	p PersistedState,
+	machines map[scheduler.MachineID]MachineStart,
+) {
 	weight := Weight(Outliers, elapsed.Age)
 	if weight == 0 {
 		return
@@ -129,7 +137,7 @@
 	}
 }
 
-// adjust converts a time of the earlier incarnation to the clock of this one; 0 stands for no time.
+// adjust converts a time of the earlier incarnation to the clock of this incarnation. The time 0 stands for no time.
 func (e Elapsed) adjust(t scheduler.Time) scheduler.Time {
 	if t == 0 {
 		return 0
@@ -151,9 +159,9 @@
 // restoreSends restores the sends to machines in slow start, for the last two windows. Each send is written to the log
 // before it is made. The record survives the death of the process, but may not survive a crash of the system. After a
 // restart of the system, as after a first start, the scheduler therefore sends nothing to such machines for one window.
-func (r *Restored) restoreSends(
+func (r *RestoredState) restoreSends(
 	now Timestamp,
-	p Persisted,
+	p PersistedState,
 	machines map[scheduler.MachineID]MachineStart,
 	window scheduler.Time,
 ) {
@@ -196,7 +204,7 @@
 	return recent
 }
 
-func (r *Restored) machineIndex() map[scheduler.MachineID]int {
+func (r *RestoredState) machineIndex() map[scheduler.MachineID]int {
 	index := map[scheduler.MachineID]int{}
 	for i, machine := range r.Snapshot.Machines {
 		index[machine.Machine] = i
@@ -205,7 +213,11 @@
 }
 
 // restoreRecentSends adds sends to the snapshot entry of their machine, and creates the entry if there is none.
-func (r *Restored) restoreRecentSends(index map[scheduler.MachineID]int, sends SlowStartSends, start MachineStart) {
+func (r *RestoredState) restoreRecentSends(
+	index map[scheduler.MachineID]int,
+	sends SlowStartSends,
+	start MachineStart,
+) {
 	i, known := index[sends.Machine]
 	if !known {
 		i = len(r.Snapshot.Machines)
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -17,9 +17,9 @@
 
 // persisted returns the state that a scheduler left at 1,000 s of its clock, 100 s after its system booted. Machine m
 // looked like an outlier, was ejected, and received attempts in its slow start.
-func persisted() Persisted {
+func persisted() PersistedState {
 	at := Timestamp{Clock: 1000 * sec, Uptime: 100 * sec, BootID: "b"}
-	return Persisted{
+	return PersistedState{
 		TakenAt: at, ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{"m": 7},
 		History: LogHistory{SendsRecordedSince: Timestamp{Clock: 950 * sec, Uptime: 50 * sec, BootID: "b"}},
 		Sends:   []SlowStartSends{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
@@ -67,7 +67,7 @@
 type restoreCase struct {
 	name   string
 	now    Timestamp
-	change func(p *Persisted, m map[scheduler.MachineID]MachineStart) // nil: none
+	change func(p *PersistedState, m map[scheduler.MachineID]MachineStart) // nil: none
 	want   outcome
 }
 
@@ -138,22 +138,22 @@
 	},
 	{
 		"a machine that restarted in between", secondLater,
-		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
+		func(_ *PersistedState, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
 		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"a machine that is gone", secondLater,
-		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
+		func(_ *PersistedState, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
 		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"other workload classes", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
 		outcome{decayedMachine, 51 * sec, false, "loss ratios not restored"},
 	},
 	{
 		"no sends were recorded", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
 		outcome{
 			restoredMachine{decayedOdds, 1004 * sec, 0},
 			0, true,
@@ -162,14 +162,14 @@
 	},
 	{
 		"no snapshot, and a log", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) {
 			p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
 		},
 		outcome{restoredMachine{sends: 2}, 51 * sec, false, "slow start restored sends=2"},
 	},
 	{
 		"an incarnation that has just begun", boot(951*sec, 51*sec),
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { // with sends of the incarnation before it
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { // with sends of the incarnation before it
 			p.TakenAt = p.History.SendsRecordedSince
 			p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
 		},
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -13,7 +13,7 @@
 	SlowStartExhausted int
 	Ejected            int
 	Suspected          int // suspected of failing the request's workload class or tenant
-	InsufficientCores  int // by the requests in the machine list
+	InsufficientCores  int // according to the requests in the machine list
 	InsufficientMemory int
 	Eligible           int
 	SheddingLoad       bool    // whether requests of low priority are rejected
@@ -27,7 +27,7 @@
 	TrafficClasses  []TrafficClass    `cbor:"Traits"`    // workload classes, then tenants, then "no tenant"
 	FullRatio       float64           `cbor:"Full"`      // moving share of attempts that found their machine full
 	RejectedWeight  float64           `cbor:"Missed"`    // moving average: priority weight if full, 0 if accepted
-	SendsKnownSince Time              `cbor:"SentSince"` // all sends to machines in slow start since then are known
+	SendsKnownSince Time              `cbor:"SentSince"` // since then all sends to machines in slow start are known
 }
 
 // MachineSnapshot is the learned state of one incarnation of a machine.
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -7,7 +7,7 @@
 
 func (s *Scheduler) handleRequestReceived(e RequestReceived) {
 	if c := s.register(e.PlacementRequest); c != nil {
-		s.unplaced = append(s.unplaced, c)
+		s.unplacedContainers = append(s.unplacedContainers, c)
 	} else {
 		s.actions.emit(Fail{ID: e.ID})
 	}
@@ -40,7 +40,7 @@
 
 // placeAll places the containers that became unplaced in this batch and are still open.
 func (s *Scheduler) placeAll() {
-	for _, c := range s.unplaced {
+	for _, c := range s.unplacedContainers {
 		if !c.closed {
 			s.place(c)
 		}
@@ -135,7 +135,7 @@
 	case e.Outcome == OutcomeFinished: // it ran to its end before it was accepted: a retry would be pointless
 		s.respond(c)
 	default:
-		s.unplaced = append(s.unplaced, c)
+		s.unplacedContainers = append(s.unplacedContainers, c)
 	}
 }
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -43,7 +43,7 @@
 	DedupScope       Scope       `cbor:"Repeats"`  // for IdempotentWithKey
 	DedupWindow      Time        `cbor:"Window"`   // for IdempotentWithKey
 	LatencyObjective Time        `cbor:"Agreed"`   // a start within it has full value
-	PlacementTimeout Time        `cbor:"HardStop"` // from the request to its deadline
+	PlacementTimeout Time        `cbor:"HardStop"` // time from the request to its deadline
 	MachineType      int         `cbor:"Kind"`     // index into Config.MachineTypes of the required type; -1: any
 	SpreadScope      Scope       `cbor:"Spread"`
 	MaxPerScope      int         `cbor:"Most"` // maximum of a service's containers in one SpreadScope
@@ -83,6 +83,6 @@
 	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list is sent only after WatchMachineList
 	ResyncInterval     Time            `cbor:"AskWithin"`   // longest time until the list has to be polled
 	SlowStartPeriod    Time            `cbor:"ColdFor"`     // length of slow start after the start of a machine
-	SlowStartWindow    Time            `cbor:"ColdWindow"`
-	SlowStartBudget    int             `cbor:"ColdBids"` // sends to a machine in each window, by all schedulers
+	SlowStartWindow    Time            `cbor:"ColdWindow"`  // window to which SlowStartBudget applies
+	SlowStartBudget    int             `cbor:"ColdBids"`    // sends to a machine in each window, by all schedulers
 }
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -5,18 +5,18 @@
 // container is a container that is being placed or runs. It is removed once it is closed and has no open attempt. Only
 // its own methods and the container registry change it; the other components read it.
 type container struct {
-	request  PlacementRequest
-	class    *WorkloadClass
-	service  *service
-	attempts int
-	machine  *machine // machine of the open attempt, or the one that runs the container; nil if there is none
-	sentAt   Time     // send time of the attempt on machine
-	accepted bool
-	closed   bool // answered or cancelled: only the outcome of an open attempt may still follow
-	firstRun possibleRun
-	excluded []*machine // machines where no further attempt is made
-	failures []unattributedFailure
-	used     resources
+	request          PlacementRequest
+	class            *WorkloadClass
+	service          *service
+	attempts         int
+	machine          *machine // machine of the open attempt, or the one that runs the container; nil if there is none
+	sentAt           Time     // send time of the attempt on machine
+	accepted         bool
+	closed           bool // answered or cancelled: only the outcome of an open attempt may still follow
+	firstRun         possibleRun
+	excludedMachines []*machine // machines where no further attempt is made
+	failures         []unattributedFailure
+	usedResources    resources
 }
 
 // possibleRun is the first attempt that may have run the container. Its machine is nil if there is no such attempt.
@@ -78,11 +78,11 @@
 
 // exclude prevents further attempts of the container on a machine.
 func (c *container) exclude(m *machine) {
-	c.excluded = append(c.excluded, m)
+	c.excludedMachines = append(c.excludedMachines, m)
 	m.exclusions++
 }
 
-func (c *container) excludes(m *machine) bool { return slices.Contains(c.excluded, m) }
+func (c *container) excludes(m *machine) bool { return slices.Contains(c.excludedMachines, m) }
 
 // holdBackFailure keeps a failure until a later outcome shows its cause.
 func (c *container) holdBackFailure(f unattributedFailure) { c.failures = append(c.failures, f) }
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -68,7 +68,7 @@
 		return
 	}
 	delete(r.containers, c.request.ID)
-	for _, m := range c.excluded {
+	for _, m := range c.excludedMachines {
 		m.exclusions--
 	}
 	c.service.containers--
@@ -108,7 +108,7 @@
 func (r *containerRegistry) reserve(c *container, m *machine, now Time) {
 	c.machine = m
 	c.sentAt = now
-	c.used = c.requested()
+	c.usedResources = c.requested()
 	c.service.reservations[m]++
 	m.load.reserve(c.requested())
 	r.quotas.reserve(c.request.Tenant, c.request.Cores)
@@ -122,14 +122,14 @@
 	if c.service.reservations[m] == 0 {
 		delete(c.service.reservations, m)
 	}
-	m.load.release(c.requested(), c.used)
+	m.load.release(c.requested(), c.usedResources)
 	r.quotas.release(c.request.Tenant, c.request.Cores)
 }
 
 // reportUse records the measured use of a container that has a machine. Metrics other than cores and memory are
 // ignored.
 func (r *containerRegistry) reportUse(c *container, metric UsageMetric, value float64) {
-	used := c.used
+	used := c.usedResources
 	switch metric {
 	case MetricCoresUsed:
 		used.cores = value
@@ -138,8 +138,8 @@
 	case MetricRunning, MetricServedShare, MetricMachineMemory:
 	default:
 	}
-	c.machine.load.replaceUse(c.used, used)
-	c.used = used
+	c.machine.load.replaceUse(c.usedResources, used)
+	c.usedResources = used
 }
 
 // silentMachines returns the machines that have sent nothing since an attempt was sent to them more than span ago.
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -34,7 +34,8 @@
 	shedder     *loadShedder
 }
 
-// candidate is the best machine so far: the one with the least variate among those of the lowest suspicion level.
+// candidate is the best machine so far: the one with the least variate among the machines of the lowest suspicion
+// level.
 type candidate struct {
 	machine *machine
 	level   suspicionLevel
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -56,7 +56,7 @@
 	Cores           float64     `cbor:"Cores"`
 	Memory          float64     `cbor:"Memory"`
 	Deadline        Time        `cbor:"Due"`
-	ExpectedRuntime Time        `cbor:"Life"` // from now on; 0: unknown
+	ExpectedRuntime Time        `cbor:"Life"` // expected runtime from now on; 0: unknown
 	ClientRetry     bool        `cbor:"Again"`
 }
 
@@ -77,7 +77,7 @@
 	ID      ContainerID
 	Attempt int // from 1
 	Machine MachineID
-	Elapsed Time // since the attempt was sent
+	Elapsed Time // time since the attempt was sent
 }
 
 // AttemptEnded is the outcome of an attempt, before or after its acceptance. Each attempt has exactly one.
--- a/scheduler/machineregistry.go
+++ b/scheduler/machineregistry.go
@@ -15,7 +15,7 @@
 	actions        *actionBuffer
 
 	byID    map[MachineID]*machine
-	ordered []*machine // by ID, as no decision may depend on the iteration order of a map
+	ordered []*machine // ordered by ID, because no decision may depend on the iteration order of a map
 }
 
 // machineTypeSize is the size of a machine type, and its capacity in containers of mean size.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,7 +2,7 @@
 
 const (
 	averagingSpan  = 32              // time constant of moving averages, in observations
-	deadlineMargin = 2 * Millisecond // before deadlines and ends of deduplication windows, for transit to the machine
+	deadlineMargin = 2 * Millisecond // reserved before deadlines and ends of dedup windows for transit to the machine
 
 	maintenanceInterval = Second / 4 // also the horizon within which a deadline gets a timer
 
@@ -32,9 +32,9 @@
 	deadlines  *deadlineTimer
 	explainer  *explainer
 
-	now              Time         // time of the current or last batch
-	unplaced         []*container // placed at the end of the current batch
-	deadlineCheckDue bool         // a timer fired in the current batch
+	now                Time         // time of the current or last batch
+	unplacedContainers []*container // placed at the end of the current batch
+	deadlineCheckDue   bool         // a timer fired in the current batch
 }
 
 // New returns a scheduler without machines.
@@ -106,8 +106,8 @@
 func (s *Scheduler) beginBatch(now Time) {
 	s.now = now
 	s.actions.reset()
-	clear(s.unplaced)
-	s.unplaced = s.unplaced[:0]
+	clear(s.unplacedContainers)
+	s.unplacedContainers = s.unplacedContainers[:0]
 	s.deadlineCheckDue = false
 }
 
--- a/scheduler/sendledger.go
+++ b/scheduler/sendledger.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// restore inserts the sends of an earlier incarnation of the scheduler before those of this one.
+// restore inserts the sends of an earlier incarnation of the scheduler before the sends of this incarnation.
 func (l *sendLedger) restore(snapshot MachineSnapshot) {
 	l.sendTimes = append(slices.Clip(snapshot.RecentSends), l.sendTimes...)
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -13,8 +13,8 @@
 // the quotas add up to the budget.
 type slowStartLimiter struct {
 	period          Time // length of slow start after the start of a machine
-	window          Time
-	budget          int // sends to a machine in each window, by all schedulers
+	window          Time // window to which the budget applies
+	budget          int  // sends to a machine in each window, by all schedulers
 	schedulerIndex  int
 	schedulerCount  int
 	sendsKnownSince Time // all sends since this time are in the ledgers
