--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -110,10 +110,10 @@
 // reconnectingMachine accepts an offer and closes its connection. Each inventory lists a container of an earlier
 // incarnation. The inventory of the second connection also lists the accepted container if stillListed is set.
 type reconnectingMachine struct {
-	stillListed bool
-	connections int
-	attempt     uint64
-	reconnected chan net.Conn
+	stillListed   bool
+	connections   int
+	attempt       uint64
+	reconnections chan net.Conn
 }
 
 func (m *reconnectingMachine) serve(c net.Conn) {
@@ -135,7 +135,7 @@
 	}
 	sendHello(c, "a", 1, inventory)
 	if m.connections == 2 {
-		m.reconnected <- c
+		m.reconnections <- c
 	}
 	frames.Handle(c, frames.OnOffer(func(c net.Conn, o *protocol.Offer) bool {
 		m.attempt = o.AttemptID
@@ -152,13 +152,13 @@
 		listed bool
 	}{{"still listed", true}, {"no longer listed", false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := &reconnectingMachine{stillListed: tc.listed, reconnected: make(chan net.Conn, 10)}
+			m := &reconnectingMachine{stillListed: tc.listed, reconnections: make(chan net.Conn, 10)}
 			h := startWithMachineA(t, testConfig(t), attemptOn(0), testutil.ServeUntilEnd(t, m.serve))
 			found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil)
 			testutil.Expect(t, found.ID == "old" && found.Machine == "a", "adopted %+v", found)
 			h.client.submit("x", classAtMostOnce)
 			h.client.wantReply(protocol.VerdictPlaced)
-			c := <-m.reconnected
+			c := <-m.reconnections
 			want := protocol.OutcomeLost
 			if tc.listed {
 				want = protocol.OutcomeFinished
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -35,7 +35,7 @@
 		update := awaitEvent[scheduler.MachineListUpdate](t, second.scriptedScheduler, nil)
 		testutil.Expect(t, update.Mode == scheduler.RestoredSnapshot && len(update.Entries) == 2,
 			"restored list %+v", update)
-		restored := <-second.restored
+		restored := <-second.restoredSnapshots
 		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
 			restored.Machines[0].OutlierLogOdds < 3.5 ||
 			restored.Machines[0].OutlierLogOdds > 4 {
@@ -141,11 +141,11 @@
 
 // crashCase is a crash between an attempt and its end.
 type crashCase struct {
-	name   string
-	class  int
-	runs   bool // the machine reports the container
-	logged int  // attempts in the log
-	want   protocol.Verdict
+	name           string
+	class          int
+	runs           bool // the machine reports the container
+	loggedAttempts int  // number of attempts in the log
+	want           protocol.Verdict
 }
 
 // After a crash between an attempt and its end, the next incarnation finds the attempt in the log. It waits for the
@@ -174,14 +174,14 @@
 	h := startWithMachineA(t, settings, failRequests, serveReportingMachine(t, inventory, report))
 	unresolved := func() int { return h.server.decisions.reconciler.UnresolvedKeys() }
 	n := onLoop(h.server, unresolved)
-	testutil.Expect(t, n == tc.logged, "%d attempts are known to be open", n)
+	testutil.Expect(t, n == tc.loggedAttempts, "%d attempts are known to be open", n)
 	retry := func() *protocol.PlacementReply {
 		spec := specFor("x", tc.class)
 		spec.ContainerID, spec.ClientRetry = "y", true
 		h.client.submitSpec(spec)
 		return h.client.receiveReply()
 	}
-	if tc.logged > 0 {
+	if tc.loggedAttempts > 0 {
 		if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted ||
 			!strings.Contains(reply.Message, "may run on machine a") {
 			t.Errorf("retried before the machine reported: %+v", reply)
@@ -223,9 +223,9 @@
 	})
 	script := newWarmStartScript(scheduler.Snapshot{})
 	runIncarnation(t, next, script, func(server *Server) {
-		<-script.restored // at the start, before a list contains the incarnation
+		<-script.restoredSnapshots // at the start, before a list contains the incarnation
 		watchList(server)
-		restored := <-script.restored
+		restored := <-script.restoredSnapshots
 		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
 			len(restored.Machines[0].RecentSends) != 1 {
 			t.Errorf("restored %+v", restored.Machines)
--- a/internal/schedulerd/script_test.go
+++ b/internal/schedulerd/script_test.go
@@ -38,12 +38,12 @@
 // warmStartScript is a scriptedScheduler with a warm-start snapshot.
 type warmStartScript struct {
 	*scriptedScheduler
-	snapshot scheduler.Snapshot
-	restored chan scheduler.Snapshot
+	snapshot          scheduler.Snapshot
+	restoredSnapshots chan scheduler.Snapshot
 }
 
 func (s *warmStartScript) Snapshot() scheduler.Snapshot        { return s.snapshot }
-func (s *warmStartScript) Restore(snapshot scheduler.Snapshot) { s.restored <- snapshot }
+func (s *warmStartScript) Restore(snapshot scheduler.Snapshot) { s.restoredSnapshots <- snapshot }
 
 func newWarmStartScript(snapshot scheduler.Snapshot) *warmStartScript {
 	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
--- a/internal/schedulerd/snapshotwriter.go
+++ b/internal/schedulerd/snapshotwriter.go
@@ -38,9 +38,9 @@
 // snapshotWriter writes one snapshot at a time on a separate goroutine, as file operations must not block the loop.
 type snapshotWriter struct {
 	*process
-	dir     stateDir
-	state   writerState
-	writing sync.WaitGroup
+	dir           stateDir
+	state         writerState
+	pendingWrites sync.WaitGroup
 }
 
 // transition applies an event. It is the only function that changes the state of a snapshot writer.
@@ -57,7 +57,7 @@
 	}
 	w.transition(writeStarted)
 	snapshot := takeSnapshot()
-	w.writing.Go(func() {
+	w.pendingWrites.Go(func() {
 		err := snapshot.write(w.dir)
 		w.loop.Post(func() { w.handleResult(err) })
 	})
@@ -80,4 +80,4 @@
 }
 
 // wait returns when no snapshot is being written.
-func (w *snapshotWriter) wait() { w.writing.Wait() }
+func (w *snapshotWriter) wait() { w.pendingWrites.Wait() }
--- a/scheduler/machineregistry.go
+++ b/scheduler/machineregistry.go
@@ -14,8 +14,8 @@
 	slowStart      *slowStartLimiter
 	actions        *actionBuffer
 
-	byID    map[MachineID]*machine
-	ordered []*machine // ordered by ID, because no decision may depend on the iteration order of a map
+	byID           map[MachineID]*machine
+	sortedMachines []*machine // by ID, because no decision may depend on the iteration order of a map
 }
 
 // machineTypeSize is the size of a machine type, and its capacity in containers of mean size.
@@ -45,7 +45,7 @@
 func (r *machineRegistry) find(id MachineID) *machine { return r.byID[id] }
 
 // all returns the machines ordered by ID. The slice is valid until a machine is added or evicted.
-func (r *machineRegistry) all() []*machine { return r.ordered }
+func (r *machineRegistry) all() []*machine { return r.sortedMachines }
 
 // findOrAdd returns the machine. It adds the machine if it is unknown, even if it is not in the machine list yet.
 func (r *machineRegistry) findOrAdd(id MachineID) *machine {
@@ -60,17 +60,17 @@
 		evidence: newClassEvidence(r.trafficClasses),
 	}
 	r.byID[id] = m
-	position, _ := slices.BinarySearchFunc(r.ordered, id, func(o *machine, id MachineID) int {
+	position, _ := slices.BinarySearchFunc(r.sortedMachines, id, func(o *machine, id MachineID) int {
 		return cmp.Compare(o.id, id)
 	})
-	r.ordered = slices.Insert(r.ordered, position, m)
+	r.sortedMachines = slices.Insert(r.sortedMachines, position, m)
 	return m
 }
 
 // apply applies an update of the machine list.
 func (r *machineRegistry) apply(update MachineListUpdate, now Time) {
 	if update.Mode == FullSnapshot || update.Mode == RestoredSnapshot {
-		for _, m := range r.ordered {
+		for _, m := range r.sortedMachines {
 			m.listing.state = MachineGone
 		}
 	}
@@ -109,7 +109,7 @@
 // evictGone removes the machines that are gone and no longer referenced: by a container, by an exclusion, or by a
 // recent send, which would count if the machine came back in the same incarnation.
 func (r *machineRegistry) evictGone(now Time) {
-	r.ordered = slices.DeleteFunc(r.ordered, func(m *machine) bool {
+	r.sortedMachines = slices.DeleteFunc(r.sortedMachines, func(m *machine) bool {
 		if m.listing.state != MachineGone || m.isReferenced() || len(r.slowStart.recentSends(m, now)) > 0 {
 			return false
 		}
