--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -139,7 +139,7 @@
 		server.Stop()
 		testutil.ExpectNoError(t, server.Run())
 	}()
-	loaded := server.state.loaded
+	loaded := server.state.loadedState
 	attempts := []reconcile.Attempt{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
 	for _, record := range []struct {
 		name      string
@@ -227,7 +227,7 @@
 	return fields
 }
 
-// zeroField returns the path of a field that is zero in the golden data; "" if there is none.
+// zeroField returns the path of a field that is zero in the golden data, or "" if there is none.
 func zeroField(path string, v reflect.Value) string {
 	for _, f := range fieldsOf(path, v) {
 		if zero := zeroField(f.path, f.value); zero != "" {
--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -22,32 +22,32 @@
 const incarnationKey = "this"
 
 // journal collects changes of the log. All changes of one loop iteration form one commit. Callbacks run once the commit
-// is written, or once it is synced to disk if one of them requires that.
+// is written. If one of the callbacks requires a sync, all run once the commit is synced to disk.
 type journal struct {
 	*process
 	wal            *wal.Log // nil until openLog
 	history        warmstart.LogHistory
-	historyPending bool // the log does not hold the current history yet
+	historyPending bool // the log does not hold the present value of history yet
 
-	changes       []wal.Change // in this iteration
-	commitGroup   *commitGroup // of this iteration; nil if no attempt waits for it
+	changes       []wal.Change // changes of this iteration
+	commitGroup   *commitGroup // commit of this iteration; nil if no attempt waits for it
 	callbacks     []func(error)
 	syncNeeded    bool
-	failedDeletes []wal.Change // failed to be written; retried with the next snapshot
+	failedDeletes []wal.Change // deletes that could not be written; retried with the next snapshot
 }
 
 // commitGroup is the commit of one loop iteration.
 type commitGroup struct {
-	startedAt eventloop.Tick // when the changes were passed to the log, at the end of the iteration; 0: not yet
+	startedAt eventloop.Tick // time at which the changes were passed to the log; 0: the iteration has not ended
 }
 
-// openLog opens the log in a folder.
-func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
-	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
+// openLog opens the log in a folder, and returns the statistics of the records found there.
+func (j *journal) openLog(dir vfs.FS) (stats wal.Stats, err error) {
+	j.wal, stats, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
 	if err != nil {
-		return found, fmt.Errorf("open log: %w", err)
+		return stats, fmt.Errorf("open log: %w", err)
 	}
-	return found, nil
+	return stats, nil
 }
 
 // logModeChange is called on the goroutine of the log.
@@ -160,7 +160,7 @@
 	return wal.Put(IncarnationKind, incarnationKey, j.history)
 }
 
-// markLogComplete logs that all attempts of earlier incarnations are known, as all machines have reported.
+// markLogComplete logs that all attempts of earlier incarnations are known, because all machines have reported.
 func (j *journal) markLogComplete() {
 	j.history = j.history.WithCompleteLog()
 	j.changes = append(j.changes, j.historyChange())
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -17,21 +17,21 @@
 // state in a snapshot file.
 type stateStore struct {
 	*journal
-	state  storeState
-	dir    stateDir
-	loaded loadedState // released once it is restored
-	writer snapshotWriter
+	state       storeState
+	dir         stateDir
+	loadedState loadedState // cleared once it is restored
+	writer      snapshotWriter
 
 	ledger *warmstart.SendLedger
 	// pendingSends are sends to incarnations that are not listed yet. They are kept for two slow-start windows.
 	pendingSends    []warmstart.SlowStartSends
-	sendsKnownSince scheduler.Time // all slow-start sends since then are known
+	sendsKnownSince scheduler.Time // all slow-start sends since this time are known
 }
 
 // loadedState is the state of earlier incarnations that the folder holds.
 type loadedState struct {
 	history  warmstart.LogHistory
-	attempts []reconcile.Attempt // without a logged end
+	attempts []reconcile.Attempt // attempts whose end is not in the log
 	sends    []warmstart.SlowStartSends
 	snapshot *WarmStartSnapshot // nil if there is none
 }
@@ -67,18 +67,18 @@
 }
 
 func (st *stateStore) open() error {
-	found, err := st.openLog(st.dir)
+	logStats, err := st.openLog(st.dir)
 	if err != nil {
 		return err
 	}
 	if err := st.load(); err != nil {
 		return errors.Join(err, st.closeLog())
 	}
-	st.beginIncarnation(st.loaded.history)
+	st.beginIncarnation(st.loadedState.history)
 	st.transition(storeFolderLoaded)
 	st.log.Info("state loaded", "folder", st.config.StateDir,
-		"records", found.Records, "groups", found.Groups, "bytes", found.Bytes,
-		"truncated_bytes", found.TruncatedBytes, "open_attempts", len(st.loaded.attempts),
+		"records", logStats.Records, "groups", logStats.Groups, "bytes", logStats.Bytes,
+		"truncated_bytes", logStats.TruncatedBytes, "open_attempts", len(st.loadedState.attempts),
 		"log_coverage", st.coverage())
 	return nil
 }
@@ -90,12 +90,12 @@
 		return err
 	}
 	if len(histories) > 0 { // the log holds at most one
-		st.loaded.history = histories[0]
+		st.loadedState.history = histories[0]
 	}
-	if st.loaded.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
+	if st.loadedState.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
 		return err
 	}
-	if st.loaded.sends, err = loadAll[warmstart.SlowStartSends](records, SendKind); err != nil {
+	if st.loadedState.sends, err = loadAll[warmstart.SlowStartSends](records, SendKind); err != nil {
 		return err
 	}
 	return st.loadSnapshot()
@@ -125,7 +125,7 @@
 	case err != nil:
 		st.log.Warn("unreadable snapshot ignored", "error", err)
 	case snapshot != nil:
-		st.loaded.snapshot = snapshot
+		st.loadedState.snapshot = snapshot
 	default:
 		st.loadLegacyList()
 	}
@@ -140,12 +140,12 @@
 		st.log.Warn("unreadable legacy machine list ignored", "error", err)
 	case snapshot != nil:
 		st.log.Info("legacy machine list loaded, it is stored in the state folder from now on", "file", file)
-		st.loaded.snapshot = snapshot
+		st.loadedState.snapshot = snapshot
 	}
 }
 
-// logSend records the send of an attempt or a probe to a machine. It reports whether there is anything to log, as for a
-// machine in slow start.
+// logSend records the send of an attempt or a probe to a machine. It reports whether the send has to be logged,
+// because the machine is in slow start.
 func (st *stateStore) logSend(id scheduler.MachineID, start warmstart.MachineStart) bool {
 	sends, changed := st.ledger.RecordSend(st.now(), id, start)
 	if changed {
@@ -154,8 +154,8 @@
 	return changed
 }
 
-// logIncarnation logs earlier sends that may have reached a newly announced incarnation of a machine, although an
-// earlier incarnation was the known one when they were sent.
+// logIncarnation logs sends that may have reached a newly announced incarnation of a machine. At the time of these
+// sends, only an earlier incarnation was known.
 func (st *stateStore) logIncarnation(id scheduler.MachineID, start warmstart.MachineStart) {
 	if sends, changed := st.ledger.IncarnationObserved(st.now(), id, start); changed {
 		st.putSends(sends)
@@ -172,7 +172,7 @@
 }
 
 // close commits the pending changes and writes the last snapshot, once the loop has ended. No snapshot is written if
-// the state was not restored: the one in the folder is more complete than that of this incarnation.
+// the state was not restored: the snapshot in the folder is more complete than the state of this incarnation.
 func (st *stateStore) close(takeSnapshot func() *WarmStartSnapshot) {
 	st.retryDeletes()
 	st.commit()
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcomes of attempts that are counted in addition to those that machines report. The names are shown in the status.
+// Outcomes of attempts that are counted in addition to the outcomes that machines report. The status shows the names.
 const (
 	statTimedOut       = "timed out"
 	statLateAccept     = "late yes"
@@ -27,10 +27,10 @@
 
 // stats holds the counters of a server.
 type stats struct {
-	submitted               int
-	running                 int
-	adopted                 int
-	undelivered             int // frames that could not be sent to a client
+	submissions             int
+	runningContainers       int
+	adoptions               int
+	undeliveredFrames       int // frames that could not be sent to a client
 	attempts                int
 	verdicts                map[protocol.Verdict]int
 	outcomes                map[string]int
@@ -50,28 +50,29 @@
 	}
 }
 
-func (s *stats) countSubmission() { s.submitted++ }
+func (s *stats) countSubmission() { s.submissions++ }
 
 func (s *stats) countOutcome(name string) { s.outcomes[name]++ }
 
 func (s *stats) countAnswer(v protocol.Verdict) { s.verdicts[v]++ }
 
-func (s *stats) countUndelivered() { s.undelivered++ }
+func (s *stats) countUndelivered() { s.undeliveredFrames++ }
 
-func (s *stats) countStarted() { s.running++ }
+func (s *stats) countStarted() { s.runningContainers++ }
 
-func (s *stats) countEnded() { s.running-- }
+func (s *stats) countEnded() { s.runningContainers-- }
 
 // countAdopted counts an adopted container, which is already running.
 func (s *stats) countAdopted() {
-	s.running++
-	s.adopted++
+	s.runningContainers++
+	s.adoptions++
 }
 
 // countAttempt counts an offer that was sent.
 func (s *stats) countAttempt() { s.attempts++ }
 
-// addFirstAttempt adds the submission time of a container, whose latency is recorded at the end of this iteration.
+// addFirstAttempt adds the submission time of a container whose first attempt is sent. The latency is recorded at the
+// end of this iteration.
 func (s *stats) addFirstAttempt(submittedAt time.Duration) {
 	s.firstAttemptSubmissions = append(s.firstAttemptSubmissions, submittedAt)
 }
@@ -79,7 +80,7 @@
 // recordPlacementLatency records the time from the submission until the first attempt was written to the socket.
 func (s *stats) recordPlacementLatency(now time.Duration) {
 	for _, submittedAt := range s.firstAttemptSubmissions {
-		// fails only above maxLatency
+		// RecordValue fails only above maxLatency.
 		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds()))
 	}
 	s.firstAttemptSubmissions = s.firstAttemptSubmissions[:0]
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -8,12 +8,12 @@
 	"glenport/scheduler"
 )
 
-// listedWith returns a lookup by which every machine is listed with this start.
+// listedWith returns a lookup for which every machine is listed with the given start.
 func listedWith(start MachineStart) MachineLookup {
 	return func(scheduler.MachineID) (MachineStart, bool) { return start, true }
 }
 
-// notListed is a lookup by which no machine is listed.
+// notListed is a lookup for which no machine is listed.
 func notListed(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
 
 // Sends to a machine are recorded while it is in slow start, and no longer.
@@ -47,13 +47,13 @@
 		t.Error("a record expired while its machine may be listed again without a restart")
 	}
 	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "a record expired in slow start")
-	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recorded) != 0 {
+	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recordedSends) != 0 {
 		t.Errorf("%v", got)
 	}
 }
 
-// Sends to a machine whose slow start is over are kept in memory. If the machine had restarted before them, they are
-// recorded with the next send. Otherwise the next incarnation of the scheduler would not know that part of the budget.
+// Sends to a machine whose slow start is over are kept in memory. If the machine had restarted before these sends, the
+// next send records them. Otherwise the next incarnation of the scheduler would use that part of the budget again.
 func TestSendsBeforeStartIsObservedAreRecorded(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
 	ledger.RecordSend(100*sec, "m", MachineStart{7, 0})
@@ -62,7 +62,7 @@
 	}
 }
 
-// Sends that may have reached a start are recorded as soon as the start is observed, including those of an earlier
+// Sends that may have reached a start are recorded as soon as the start is observed, including sends of an earlier
 // incarnation of the scheduler. Sends to earlier starts are not recorded, and unrecorded sends are dropped after two
 // windows.
 func TestObservedStartIsRecordedWithWhatReachedIt(t *testing.T) {
@@ -104,8 +104,8 @@
 			_, again := ledger.IncarnationObserved(102*sec, "m", after)
 			testutil.Expect(t, !again, "recorded twice")
 			ledger.Expire(102*sec+2*window, listedWith(MachineStart{9, 0}))
-			if recorded, unrecorded := len(ledger.recorded), len(ledger.unrecorded); recorded+unrecorded != 0 {
-				t.Errorf("after two windows %d records and %d unrecorded entries are left", recorded, unrecorded)
+			if records, others := len(ledger.recordedSends), len(ledger.unrecordedSends); records+others != 0 {
+				t.Errorf("after two windows %d records and %d unrecorded entries are left", records, others)
 			}
 		})
 	}
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -17,9 +17,9 @@
 
 // persisted returns the state that a scheduler left at 1,000 s of its clock, 100 s after its system booted. Machine m
 // looked like an outlier, was ejected, and received attempts in its slow start.
-func persisted() Persisted {
+func persisted() PersistedState {
 	at := Timestamp{Clock: 1000 * sec, Uptime: 100 * sec, BootID: "b"}
-	return Persisted{
+	return PersistedState{
 		TakenAt: at, ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{"m": 7},
 		History: LogHistory{SendsRecordedSince: Timestamp{Clock: 950 * sec, Uptime: 50 * sec, BootID: "b"}},
 		Sends:   []SlowStartSends{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
@@ -67,7 +67,7 @@
 type restoreCase struct {
 	name   string
 	now    Timestamp
-	change func(p *Persisted, m map[scheduler.MachineID]MachineStart) // nil: none
+	change func(p *PersistedState, m map[scheduler.MachineID]MachineStart) // nil: none
 	want   outcome
 }
 
@@ -138,22 +138,22 @@
 	},
 	{
 		"a machine that restarted in between", secondLater,
-		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
+		func(_ *PersistedState, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
 		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"a machine that is gone", secondLater,
-		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
+		func(_ *PersistedState, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
 		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"other workload classes", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
 		outcome{decayedMachine, 51 * sec, false, "loss ratios not restored"},
 	},
 	{
 		"no sends were recorded", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
 		outcome{
 			restoredMachine{decayedOdds, 1004 * sec, 0},
 			0, true,
@@ -162,14 +162,14 @@
 	},
 	{
 		"no snapshot, and a log", secondLater,
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) {
 			p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
 		},
 		outcome{restoredMachine{sends: 2}, 51 * sec, false, "slow start restored sends=2"},
 	},
 	{
 		"an incarnation that has just begun", boot(951*sec, 51*sec),
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { // with sends of the incarnation before it
+		func(p *PersistedState, _ map[scheduler.MachineID]MachineStart) { // with sends of the incarnation before it
 			p.TakenAt = p.History.SendsRecordedSince
 			p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
 		},
@@ -206,13 +206,13 @@
 	testutil.Expect(t, strings.Contains(messages, tc.want.message), "messages %q", messages)
 }
 
-// After two crashes in a row, attempts that the first one lost from the log are still counted as missing.
+// After two crashes in a row, attempts that the first crash removed from the log still count as missing.
 func TestHistoryKeepsWhatWasLost(t *testing.T) {
 	b1 := func(s scheduler.Time) Timestamp { return Timestamp{1000*sec + s*sec, s * sec, "b1"} }
 	b2 := func(s scheduler.Time) Timestamp { return Timestamp{2000*sec + s*sec, s * sec, "b2"} }
 	first := LogHistory{}.Next(b1(5))
 	restarted := first.WithCompleteLog().Next(b2(3))
-	setBack, movedBack := Timestamp{945 * sec, 9 * sec, "b1"}, Timestamp{941 * sec, 5 * sec, "b1"}
+	nowSetBack, sinceSetBack := Timestamp{945 * sec, 9 * sec, "b1"}, Timestamp{941 * sec, 5 * sec, "b1"}
 	for _, tc := range []struct {
 		name     string
 		got      LogHistory
@@ -225,7 +225,7 @@
 		{"system restarted", restarted, b2(3), recovery.LogSynced},
 		{"system restarted, second start", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
 		{"system restarted, all reports", restarted.WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
-		{"the clock was set back a minute", first.Next(setBack), movedBack, recovery.LogNone},
+		{"the clock was set back a minute", first.Next(nowSetBack), sinceSetBack, recovery.LogNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			testutil.Expect(t, tc.got.SendsRecordedSince == tc.since && tc.got.Coverage == tc.coverage, "%+v", tc.got)
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -43,7 +43,7 @@
 	DedupScope       Scope       `cbor:"Repeats"`  // for IdempotentWithKey
 	DedupWindow      Time        `cbor:"Window"`   // for IdempotentWithKey
 	LatencyObjective Time        `cbor:"Agreed"`   // a start within it has full value
-	PlacementTimeout Time        `cbor:"HardStop"` // from the request to its deadline
+	PlacementTimeout Time        `cbor:"HardStop"` // time from the request to its deadline
 	MachineType      int         `cbor:"Kind"`     // index into Config.MachineTypes of the required type; -1: any
 	SpreadScope      Scope       `cbor:"Spread"`
 	MaxPerScope      int         `cbor:"Most"` // maximum of a service's containers in one SpreadScope
@@ -64,7 +64,7 @@
 // Config is the configuration of a scheduler. The tags are the field names in recordings.
 type Config struct {
 	Seed               uint64          `cbor:"Seed"`
-	SchedulerIndex     int             `cbor:"Me"` // of this instance, from 0
+	SchedulerIndex     int             `cbor:"Me"` // index of this scheduler, from 0
 	SchedulerCount     int             `cbor:"Placers"`
 	WorkloadClasses    []WorkloadClass `cbor:"Workloads"`
 	MachineTypes       []MachineType   `cbor:"Kinds"`
@@ -79,10 +79,10 @@
 	ListTracksRequests bool            `cbor:"ListedAsks"` // free amounts in the machine list are total minus requested
 	ProbesAllowed      bool            `cbor:"MayProbe"`
 	MaxAttempts        int             `cbor:"MostBids"`
-	AnswerGrace        Time            `cbor:"AnswerGrace"` // after the deadline, while an answer is still in time
+	AnswerGrace        Time            `cbor:"AnswerGrace"` // time after the deadline in which an answer counts
 	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list is sent only after WatchMachineList
 	ResyncInterval     Time            `cbor:"AskWithin"`   // longest time until the list has to be polled
 	SlowStartPeriod    Time            `cbor:"ColdFor"`     // length of slow start after the start of a machine
-	SlowStartWindow    Time            `cbor:"ColdWindow"`
-	SlowStartBudget    int             `cbor:"ColdBids"` // sends to a machine in each window, by all schedulers
+	SlowStartWindow    Time            `cbor:"ColdWindow"`  // window to which SlowStartBudget applies
+	SlowStartBudget    int             `cbor:"ColdBids"`    // sends to a machine in each window, by all schedulers
 }
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -5,18 +5,18 @@
 // container is a container that is being placed or runs. It is removed once it is closed and has no open attempt. Only
 // its own methods and the container registry change it; the other components read it.
 type container struct {
-	request  PlacementRequest
-	class    *WorkloadClass
-	service  *service
-	attempts int
-	machine  *machine // of the open attempt, or the one that runs the container; nil if there is none
-	sentAt   Time     // of that attempt
-	accepted bool
-	closed   bool // answered or cancelled: at most an outcome is still expected
-	firstRun possibleRun
-	excluded []*machine // machines where no further attempt is made
-	failures []unattributedFailure
-	used     resources
+	request          PlacementRequest
+	class            *WorkloadClass
+	service          *service
+	attempts         int
+	machine          *machine // machine of the open attempt, or the one that runs the container; nil if there is none
+	sentAt           Time     // send time of the attempt on machine
+	accepted         bool
+	closed           bool // answered or cancelled: only the outcome of an open attempt may still follow
+	firstRun         possibleRun
+	excludedMachines []*machine // machines where no further attempt is made
+	failures         []unattributedFailure
+	usedResources    resources
 }
 
 // possibleRun is the first attempt that may have run the container. Its machine is nil if there is no such attempt.
@@ -28,9 +28,9 @@
 // service counts the containers of a service, in total and by machine.
 type service struct {
 	name         string
-	hash         uint64 // of the name
+	hash         uint64 // hash of the name
 	containers   int
-	reservations map[*machine]int
+	reservations map[*machine]int // containers that are being placed on the machine or run there
 }
 
 // reservationsSharing counts the service's containers in the same scope as the machine. Containers on machines that are
@@ -78,11 +78,11 @@
 
 // exclude prevents further attempts of the container on a machine.
 func (c *container) exclude(m *machine) {
-	c.excluded = append(c.excluded, m)
+	c.excludedMachines = append(c.excludedMachines, m)
 	m.exclusions++
 }
 
-func (c *container) excludes(m *machine) bool { return slices.Contains(c.excluded, m) }
+func (c *container) excludes(m *machine) bool { return slices.Contains(c.excludedMachines, m) }
 
 // holdBackFailure keeps a failure until a later outcome shows its cause.
 func (c *container) holdBackFailure(f unattributedFailure) { c.failures = append(c.failures, f) }
@@ -97,7 +97,7 @@
 	return failures
 }
 
-// recordPossibleRun records an attempt that may have run the container, if it is the first.
+// recordPossibleRun records an attempt that may have run the container, unless an earlier one is recorded.
 func (c *container) recordPossibleRun(m *machine, sentAt Time) {
 	if c.firstRun.machine == nil {
 		c.firstRun = possibleRun{machine: m, sentAt: sentAt}
@@ -146,8 +146,8 @@
 	}
 }
 
-// indicatesDrain reports whether a reason shows that the machine drains itself: it sent the container away, or it does
-// not know a container that cannot have run elsewhere. Either may happen before the machine list shows the drain.
+// indicatesDrain reports whether a reason shows that the machine drains itself: the machine sent the container away, or
+// does not know a container that cannot have run elsewhere. Both may happen before the machine list shows the drain.
 func (c *container) indicatesDrain(reason Reason) bool {
 	neverRan := c.firstRun.machine == nil && !c.request.ClientRetry
 	return reason == ReasonDrained || reason == ReasonWrongMachine && neverRan
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -25,7 +25,8 @@
 // find returns the container, or nil if it is unknown.
 func (r *containerRegistry) find(id ContainerID) *container { return r.containers[id] }
 
-// findPlaced returns a container that has a machine: its attempt is open, or it runs. It returns nil for any other.
+// findPlaced returns a container that has a machine, because its attempt is open or because it runs. It returns nil if
+// the container has no machine or is unknown.
 func (r *containerRegistry) findPlaced(id ContainerID) *container {
 	c := r.containers[id]
 	if c == nil || c.machine == nil {
@@ -67,7 +68,7 @@
 		return
 	}
 	delete(r.containers, c.request.ID)
-	for _, m := range c.excluded {
+	for _, m := range c.excludedMachines {
 		m.exclusions--
 	}
 	c.service.containers--
@@ -89,7 +90,7 @@
 	r.reserve(c, m, now)
 }
 
-// endAttempt releases the reservations of the container's attempt and returns the attempt as it was before.
+// endAttempt releases the reservations of the container's attempt and returns the state that the attempt had before.
 func (r *containerRegistry) endAttempt(c *container) endedAttempt {
 	attempt := endedAttempt{
 		container: c,
@@ -107,7 +108,7 @@
 func (r *containerRegistry) reserve(c *container, m *machine, now Time) {
 	c.machine = m
 	c.sentAt = now
-	c.used = c.requested()
+	c.usedResources = c.requested()
 	c.service.reservations[m]++
 	m.load.reserve(c.requested())
 	r.quotas.reserve(c.request.Tenant, c.request.Cores)
@@ -121,14 +122,14 @@
 	if c.service.reservations[m] == 0 {
 		delete(c.service.reservations, m)
 	}
-	m.load.release(c.requested(), c.used)
+	m.load.release(c.requested(), c.usedResources)
 	r.quotas.release(c.request.Tenant, c.request.Cores)
 }
 
 // reportUse records the measured use of a container that has a machine. Metrics other than cores and memory are
 // ignored.
 func (r *containerRegistry) reportUse(c *container, metric UsageMetric, value float64) {
-	used := c.used
+	used := c.usedResources
 	switch metric {
 	case MetricCoresUsed:
 		used.cores = value
@@ -137,11 +138,11 @@
 	case MetricRunning, MetricServedShare, MetricMachineMemory:
 	default:
 	}
-	c.machine.load.replaceUse(c.used, used)
-	c.used = used
+	c.machine.load.replaceUse(c.usedResources, used)
+	c.usedResources = used
 }
 
-// silentMachines returns the machines that have sent nothing since an attempt went to them more than span ago.
+// silentMachines returns the machines that have sent nothing since an attempt was sent to them more than span ago.
 func (r *containerRegistry) silentMachines(span, now Time) map[*machine]bool {
 	silent := map[*machine]bool{}
 	for _, c := range r.containers {
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// A late Restore inserts earlier sends at the front of a ledger. Sends from before the window that were still in the
-// ledger would then lie behind them and count again.
+// A late Restore inserts earlier sends at the front of a ledger. Sends from before the window that are still in the
+// ledger would then follow the inserted sends, so they would not be dropped and would count again.
 func TestDrawTrimsLedgersOfMachinesInSlowStart(t *testing.T) {
 	s := settledScheduler(nil, nil)
 	for _, m := range s.machines.all() {
@@ -87,7 +87,7 @@
 	}
 	submit(s, s.now, "x", "s")
 	for _, m := range s.machines.all() {
-		testutil.Expect(t, len(m.sends.sent) == 0 || m.sends.sent[0] >= s.now,
+		testutil.Expect(t, len(m.sends.sendTimes) == 0 || m.sends.sendTimes[0] >= s.now,
 			"the ledger of %s still has a send before its window", m.id)
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -52,11 +52,11 @@
 	IdempotencyKey  string      `cbor:"Key"` // the same for each retry by the client
 	Service         string      `cbor:"Service"`
 	WorkloadClass   int         `cbor:"Workload"` // index into Config.WorkloadClasses
-	Tenant          int         `cbor:"Customer"` // index into Config.Tenants; one out of range means no tenant
+	Tenant          int         `cbor:"Customer"` // index into Config.Tenants; an index out of range means no tenant
 	Cores           float64     `cbor:"Cores"`
 	Memory          float64     `cbor:"Memory"`
 	Deadline        Time        `cbor:"Due"`
-	ExpectedRuntime Time        `cbor:"Life"` // from now on; 0: unknown
+	ExpectedRuntime Time        `cbor:"Life"` // expected runtime from now on; 0: unknown
 	ClientRetry     bool        `cbor:"Again"`
 }
 
@@ -77,7 +77,7 @@
 	ID      ContainerID
 	Attempt int // from 1
 	Machine MachineID
-	Elapsed Time // since the attempt was sent
+	Elapsed Time // time since the attempt was sent
 }
 
 // AttemptEnded is the outcome of an attempt, before or after its acceptance. Each attempt has exactly one.
