--- a/internal/testbed/audit/history_test.go
+++ b/internal/testbed/audit/history_test.go
@@ -133,7 +133,7 @@
 	h.putFrame(at, faultproxy.FromScheduler, clientConn, &protocol.PlacementReply{ContainerID: container, Verdict: v})
 }
 
-// cancelX has the client cancel container x by its ID and, unless it is empty, a key.
+// cancelX has the client cancel container x by its ID, and by a key unless the key is empty.
 func (h *history) cancelX(at int64, key string) {
 	h.putFrame(at, faultproxy.ToScheduler, clientConn, &protocol.CancelContainer{ContainerID: "x", IdempotencyKey: key})
 }
@@ -157,7 +157,7 @@
 	h.reply(at+1, container, protocol.VerdictPlaced)
 }
 
-// retry has container x submitted and offered to machine a and, at a later time, over another connection. Neither
+// retry has container x submitted and offered to machine a, and later offered again over another connection. Neither
 // machine answers.
 func (h *history) retry(class int, second uint32, secondAt int64, verdict protocol.Verdict) {
 	h.submit(1, "x", class)
@@ -166,7 +166,7 @@
 	h.reply(700, "x", verdict)
 }
 
-// retryWithKey is retry for a container that is idempotent with a key, with the second offer after the timeout.
+// retryWithKey calls retry for a container that is idempotent with a key. The second offer follows after the timeout.
 func (h *history) retryWithKey(second uint32) { h.retry(1, second, 600, protocol.VerdictFailed) }
 
 // drain has the machine list report that machine a is draining.
--- a/internal/testbed/audit/lag.go
+++ b/internal/testbed/audit/lag.go
@@ -16,22 +16,22 @@
 	return entryTime{entry: entry, at: scheduler.Time(e.At), lag: scheduler.Time(e.Lag)}
 }
 
-// timedOut reports whether the timeout of an attempt had, or by the lag of its entry may have, expired at a time.
+// timedOut reports whether an attempt had timed out at a given time, or may have timed out given the lag of its entry.
 func (r *reporter) timedOut(a *attempt, at scheduler.Time) bool {
 	return r.inTime(a.sent, at-a.timeout)
 }
 
-// inTime reports whether an event happened no later than a limit, or may have, given the lag of its own entry. The
-// limit includes the slack. The entries for which only the lag decides are counted.
-func (r *reporter) inTime(m entryTime, limit scheduler.Time) bool {
-	if m.at <= limit {
+// inTime reports whether a recorded event happened by a limit, or may have happened by then given the lag of its entry.
+// The caller adds the slack to the limit. Entries that are in time only because of their lag are counted.
+func (r *reporter) inTime(event entryTime, limit scheduler.Time) bool {
+	if event.at <= limit {
 		return true
 	}
-	if m.at-m.lag > limit {
+	if event.at-event.lag > limit {
 		return false
 	}
-	r.widenedEntries[m.entry] = true
+	r.widenedEntries[event.entry] = true
 	r.WidenedEntries = len(r.widenedEntries)
-	r.WidenedLag = max(r.WidenedLag, milliseconds(m.lag))
+	r.WidenedLag = max(r.WidenedLag, milliseconds(event.lag))
 	return true
 }
--- a/internal/testbed/audit/lag_test.go
+++ b/internal/testbed/audit/lag_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// expectReport checks that the report names one broken rule or, if broken is 0, that the lag of one entry decided that
-// none is broken.
+// expectReport checks that the report names one broken rule. If broken is 0, it checks that no rule is broken, and that
+// one entry is in time only because of its lag.
 func expectReport(t *testing.T, report *Report, broken Rule, lag int64) {
 	t.Helper()
 	for _, v := range report.Violations {
--- a/internal/testbed/audit/locations.go
+++ b/internal/testbed/audit/locations.go
@@ -8,9 +8,9 @@
 // location is the zone and the rack group of a machine.
 type location struct{ zone, rackGroup int }
 
-// machineLocations holds the locations of machines by scheduler and machine, as each scheduler last received them. They
-// outlive an incarnation of a scheduler: it persists its machine list and, after a restart, uses it until the next
-// update arrives.
+// machineLocations holds the location that each scheduler last received for each machine, by scheduler and machine
+// name. Locations are kept when a scheduler restarts: the scheduler restores its persisted machine list and uses the
+// list until the next update arrives.
 type machineLocations map[string]map[string]location
 
 func (l machineLocations) update(schedulerName string, entry protocol.MachineEntry) {
--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -48,7 +48,7 @@
 	Submitted  int
 	Replies    [5]int // by verdict
 	Offers     int
-	Accepted   int // offers whose container ran
+	Accepted   int // accepts that report a running container
 	Abandoned  int // requests whose scheduler or client connection ended before the reply was due
 
 	SlowStartPeak   int     // largest number of offers and probes to a machine in a slow-start window
--- a/internal/testbed/audit/rule_duplicate_run.go
+++ b/internal/testbed/audit/rule_duplicate_run.go
@@ -14,11 +14,11 @@
 	overlaps  []overlap
 }
 
-// overlap is a pair of attempts of which, by the recording, the second was sent while the first was in flight. A
-// scheduler that resets a connection sends the next attempt at the same time over another connection, and the recording
-// may show the two events in either order. An overlap is therefore checked only at the end of the recording, when it is
-// known whether the first attempt ended within the slack. Of two attempts sent within the slack of each other, the one
-// with the lower id counts as the first.
+// overlap is a pair of attempts of one request. According to the recording, the second was sent while the first was in
+// flight. A scheduler that resets a connection sends the next attempt at the same time over another connection, and the
+// recording may show the two events in either order. An overlap is therefore checked only at the end of the recording,
+// when it is known whether the first attempt ended within the slack. Of two attempts sent within the slack of each
+// other, the one with the lower id counts as the first.
 type overlap struct{ first, second *attempt }
 
 func newDuplicateRunRule(
@@ -72,7 +72,7 @@
 }
 
 // checkDeduplicated checks that the new attempt lies within the scope and the window in which machines deduplicate the
-// key of the earlier one.
+// key of the earlier attempt.
 func (r *duplicateRunRule) checkDeduplicated(s *schedulerState, earlier, a *attempt, class scheduler.WorkloadClass) {
 	switch {
 	case !r.locations.sameScope(s, earlier.machine, a.machine, class.DedupScope):
@@ -96,7 +96,7 @@
 }
 
 // checkAtMostOnce checks that no other attempt with the idempotency key of an at-most-once container ran, whichever
-// scheduler sent it. The function same reports whether the attempt that is known to have run is this one.
+// scheduler sent it. The function same reports whether an attempt that is known to have run is attempt a itself.
 func (r *duplicateRunRule) checkAtMostOnce(a *attempt, now scheduler.Time, same func(earlier *attempt) bool) {
 	class, known := workloadClass(r.header, a.spec.WorkloadClass)
 	if !known || class.Idempotency != scheduler.AtMostOnce {
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// handleCancel records a cancel by key. A scheduler that no longer knows the container answers it with a reply about
-// the key. For a container that was not submitted to this scheduler that is the only reply; for a submitted one it may
-// come in addition to the reply to the request.
+// handleCancel records a cancel by key. A scheduler that no longer knows the container answers the cancel with a reply
+// about the key. If the container was not submitted to this scheduler, this is the only reply. If it was, the reply to
+// the cancel may come in addition to the reply to the request.
 func (s *schedulerState) handleCancel(f *protocol.CancelContainer) {
 	if f.IdempotencyKey == "" {
 		return
@@ -41,7 +41,7 @@
 }
 
 // handleTermination records that the client was notified of the end of its container. If a cancel by key ended the
-// container, the notification answers the cancel and no reply to it is due.
+// container, the notification is the answer to the cancel, and no reply to the cancel is due.
 func (s *schedulerState) handleTermination(f *protocol.Termination) {
 	r := s.requests[f.ContainerID]
 	if r == nil {
@@ -54,10 +54,10 @@
 	}
 }
 
-// answersCancel reports whether a further reply answers a cancel by key that crossed the end of its request: the
-// scheduler had already rejected or failed the request, or had reported the end of its container, and replies that the
-// container is cancelled. Each cancel has one answer. If the cancel ended the request, the reply to the request is also
-// the answer to the cancel.
+// answersCancel reports whether a further reply answers a cancel by key that crossed the end of its request. In that
+// case the scheduler had already rejected or failed the request, or reported the end of its container, when it replied
+// that the container is cancelled. Each cancel has one answer. If the cancel ended the request, the reply to the
+// request is also the answer to the cancel.
 func (r *request) answersCancel(f *protocol.PlacementReply) bool {
 	if f.Verdict != protocol.VerdictFailed || f.Message != protocol.MessageCancelled || r.unansweredCancels == 0 {
 		return false
@@ -123,8 +123,8 @@
 	return r
 }
 
-// abandon ends the requests whose connection or scheduler has ended: no reply is due any more, but one that was already
-// overdue is a violation.
+// abandon marks the requests selected by which as abandoned, because their connection, their scheduler or the recording
+// has ended. No reply to them is due any more. A reply that is already overdue is a violation.
 func (c *checker) abandon(s *schedulerState, which func(*request) bool) {
 	for _, container := range slices.Sorted(maps.Keys(s.requests)) {
 		r := s.requests[container]
--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -70,8 +70,8 @@
 		return
 	}
 	var evidence []string
-	for _, m := range counted {
-		evidence = append(evidence, fmt.Sprintf("%.1f ms offer or probe to %s", milliseconds(m.at), machine))
+	for _, sent := range counted {
+		evidence = append(evidence, fmt.Sprintf("%.1f ms offer or probe to %s", milliseconds(sent.at), machine))
 	}
 	r.report.violate(RuleSlowStart, now.at, evidence,
 		"machine %s, in slow start since %.1f ms, gets %d offers in %.1f ms, budget %d; last sender %s", machine,
--- a/internal/testbed/audit/rule_spread.go
+++ b/internal/testbed/audit/rule_spread.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// checkSpread checks how many containers of a service a scheduler has in the scope of an attempt's machine, including
-// this attempt: those that run, and the attempts that have not timed out.
+// checkSpread checks how many containers of a service a scheduler has in the scope of an attempt's machine. Running
+// containers count, and attempts that have not timed out, including this attempt.
 func (c *checker) checkSpread(s *schedulerState, a *attempt, class scheduler.WorkloadClass) {
 	if class.SpreadScope == scheduler.ScopeNone {
 		return
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -41,15 +41,15 @@
 	spec     protocol.ContainerSpec
 	sent     entryTime
 	timeout  scheduler.Time
-	ran      bool
-	ended    bool
+	ran      bool      // the container is known to have run
+	ended    bool      // the attempt has an outcome, or its connection closed
 	endedAt  entryTime // if it ended
 	neverRan bool      // the machine rejected it
-	text     string    // for evidence
+	text     string    // description, used as evidence of violations
 }
 
 // markEnded records that the attempt has an outcome or, as its connection closed, will never have one.
-func (a *attempt) markEnded(m entryTime) { a.ended, a.endedAt = true, m }
+func (a *attempt) markEnded(endedAt entryTime) { a.ended, a.endedAt = true, endedAt }
 
 // deadline returns when the attempt times out, by its recorded time.
 func (a *attempt) deadline() scheduler.Time { return a.sent.at + a.timeout }
@@ -57,8 +57,8 @@
 // connection is a connection between a scheduler and a client, a machine or the machine list.
 type connection struct {
 	peer     protocol.Role
-	name     string              // of the peer
-	attempts map[uint64]*attempt // without an outcome, by id
+	name     string              // name of the peer
+	attempts map[uint64]*attempt // attempts without an outcome, by id
 }
 
 func (c *checker) scheduler(name string) *schedulerState {
--- a/internal/testbed/audit/violations.go
+++ b/internal/testbed/audit/violations.go
@@ -13,7 +13,7 @@
 type reporter struct {
 	Report
 	violationCounts map[Rule]int // all violations, including those that are not reported
-	widenedEntries  map[int]bool // numbers of the entries for which only their lag decides
+	widenedEntries  map[int]bool // numbers of the entries that are in time only because of their lag
 }
 
 // violate reports a violation of a rule.
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -40,7 +40,8 @@
 	Printf(out, "rules: broken:%s\n", summary.String())
 }
 
-// RecordingLag writes the largest lag of the recording, and for how many entries the lag decided that they are in time.
+// RecordingLag writes the largest lag of the recording, and the number of entries that are in time only because of
+// their lag.
 func RecordingLag(out io.Writer, findings *audit.Report) {
 	Printf(out, "recording lag: at most %.1f ms; %d entries needed their own lag added to the slack, "+
 		"at most %.1f ms\n",
