--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -17,7 +17,7 @@
 	Violations []string
 
 	config          scheduler.Config
-	drainGrace      scheduler.Time // how long after a drain is seen the machine may still get attempts
+	drainGrace      scheduler.Time // how long a scheduler may offer to a machine after it learned of the drain
 	incarnations    []*incarnation // by scheduler index
 	attemptsChecked int
 }
@@ -49,12 +49,13 @@
 
 type machine struct {
 	scheduler.MachineEntry
-	unavailableSince scheduler.Time // when the scheduler learned that it is draining or gone; 0: it is available
+	unavailableSince scheduler.Time // when the scheduler learned that the machine is draining or gone; 0: available
 }
 
+// recordedSend is an offer or a probe that a scheduler sent to a machine.
 type recordedSend struct {
 	at            scheduler.Time
-	knewSlowStart bool
+	knewSlowStart bool // the scheduler knew that the machine was in slow start
 }
 
 // NewChecker returns a checker for schedulers whose configurations differ only in the index.
@@ -74,8 +75,9 @@
 	}
 }
 
-// Restarted begins the next incarnation of a scheduler. The open requests of the one before are left to their clients.
-func (c *Checker) Restarted(index int) {
+// ObserveRestart begins the next incarnation of a scheduler. No replies are due to the open requests of the previous
+// incarnation: their clients handle the restart.
+func (c *Checker) ObserveRestart(index int) {
 	sent := c.incarnations[index].sent
 	c.incarnations[index] = newIncarnation()
 	c.incarnations[index].sent = sent
@@ -185,7 +187,8 @@
 	}
 }
 
-// sharesScope reports whether two attempts went to machines of one scope, or may have gone where a location is unknown.
+// sharesScope reports whether two attempts went to machines in one scope. It also returns true if they may have,
+// because a location is unknown.
 func (a *attempt) sharesScope(other *attempt, scope scheduler.Scope) bool {
 	unknown := a.locationUnknown || other.locationUnknown
 	switch scope {
--- a/internal/testbed/modelcheck/events.go
+++ b/internal/testbed/modelcheck/events.go
@@ -59,8 +59,8 @@
 	kind      eventKind
 	container scheduler.ContainerID // the last word, for events of a container
 	machine   scheduler.MachineID   // the last word, for events of a machine
-	late      bool
-	batched   bool
+	late      bool                  // only a later machine list shows the event
+	batched   bool                  // delivered in one batch with the next event
 }
 
 func parseEvent(text string) event {
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -90,7 +90,7 @@
 
 // checkIdempotency checks an attempt against the earlier ones of its container.
 func (c *Checker) checkIdempotency(id scheduler.ContainerID, container *container, next *attempt) {
-	var first *attempt // the first that may have run
+	var firstRun *attempt // the first that may have run
 	for _, earlier := range container.attempts {
 		if earlier.machine == next.machine {
 			c.Violations = append(c.Violations, fmt.Sprintf("placement: %s is offered to %s again", id, next.machine))
@@ -99,24 +99,24 @@
 			c.violate(audit.RuleDuplicateRun, "%s is offered to %s while its attempt at %s is outstanding",
 				id, next.machine, earlier.machine)
 		}
-		if earlier.mayRun && first == nil {
-			first = earlier
+		if earlier.mayRun && firstRun == nil {
+			firstRun = earlier
 		}
 	}
 	class := c.config.WorkloadClasses[container.request.WorkloadClass]
 	switch {
-	case first == nil || class.Idempotency == scheduler.Idempotent:
+	case firstRun == nil || class.Idempotency == scheduler.Idempotent:
 	case class.Idempotency == scheduler.AtMostOnce:
 		c.violate(audit.RuleDuplicateRun, "%s is offered to %s but may have run on %s",
-			id, next.machine, first.machine)
-	case !next.sharesScope(first, class.DedupScope) || next.sentAt >= first.sentAt+class.DedupWindow:
+			id, next.machine, firstRun.machine)
+	case !next.sharesScope(firstRun, class.DedupScope) || next.sentAt >= firstRun.sentAt+class.DedupWindow:
 		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, outside the deduplication scope or window of %s",
-			id, next.machine, first.machine)
+			id, next.machine, firstRun.machine)
 	}
 }
 
-// checkSpread checks how many containers of a service are in the scope of a new attempt. The attempt is already among
-// those of its container.
+// checkSpread checks how many containers of a service are in the scope of a new attempt. The new attempt is already in
+// the list of attempts of its container.
 func (c *Checker) checkSpread(in *incarnation, id scheduler.ContainerID, container *container, next *attempt) {
 	class := c.config.WorkloadClasses[container.request.WorkloadClass]
 	if class.SpreadScope == scheduler.ScopeNone {
@@ -140,8 +140,8 @@
 }
 
 // checkSlowStart records an offer or a probe, and checks it against the slow-start budget if the sender knows of the
-// machine's start. All that the sender has sent since the start counts, and of the other schedulers' sends those that
-// they made while they knew of the slow start.
+// machine's start. Everything that the sender has sent since the start counts. What another scheduler sent counts if
+// that scheduler knew of the slow start when it sent.
 func (c *Checker) checkSlowStart(in *incarnation, id scheduler.MachineID, now scheduler.Time) {
 	m := in.machines[id]
 	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+c.config.SlowStartPeriod
--- a/internal/testbed/modelcheck/simulation.go
+++ b/internal/testbed/modelcheck/simulation.go
@@ -87,7 +87,8 @@
 		s.probes = append(s.probes, map[scheduler.MachineID]scheduler.Time{})
 		s.handle(i, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: s.entries()})
 	}
-	s.advance(s.Config.SlowStartWindow + s.Config.SlowStartWindow/4) // they may then send to machines in slow start
+	// Schedulers may send to machines in slow start from then on.
+	s.advance(s.Config.SlowStartWindow + s.Config.SlowStartWindow/4)
 }
 
 // finish advances past every deadline without any further outcome, and then delivers a timeout for each outstanding
--- a/internal/testbed/modelcheck/simulation_events.go
+++ b/internal/testbed/modelcheck/simulation_events.go
@@ -152,13 +152,14 @@
 	}
 }
 
-// restartScheduler replaces the first scheduler by its next incarnation, which restores the snapshot of the one before
-// after a crash. It adopts the running containers; attempts without an accept are cancelled.
+// restartScheduler replaces the first scheduler by its next incarnation. After eventCrash, the new incarnation restores
+// the snapshot of the previous one. The new incarnation adopts the running containers. Attempts without an accept are
+// cancelled.
 func (s *simulation) restartScheduler(e event) {
 	config := s.Config
 	config.SchedulerCount = s.Schedulers
 	before, after := s.schedulers[0], s.NewScheduler(config)
-	s.checker.Restarted(0)
+	s.checker.ObserveRestart(0)
 	s.schedulers[0], s.timers[0], s.probes[0] = after, nil, map[scheduler.MachineID]scheduler.Time{}
 	s.handle(0, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: s.entries()})
 	if e.kind == eventCrash {
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -31,7 +31,7 @@
 	requests   int
 	machines   map[scheduler.MachineID]scheduler.MachineEntry
 	atMostOnce map[scheduler.ContainerID]bool // open requests of at-most-once containers
-	duplicated map[scheduler.ContainerID]bool // those of which a second copy has been started
+	duplicated map[scheduler.ContainerID]bool // open requests of which a second copy has been started
 }
 
 // New returns a mutant that breaks the rule with a given number. The error is an *UnknownRuleError.
@@ -94,8 +94,8 @@
 	return false
 }
 
-// startDuplicate returns an attempt that starts a second copy of a container that may have run and must not run again;
-// false if the rule or the outcome does not call for one.
+// startDuplicate returns an attempt that starts a second copy of a container that may have run and must not run again.
+// It returns false if the rule or the outcome does not require a second copy.
 func (m *Mutant) startDuplicate(ended scheduler.AttemptEnded) (scheduler.StartAttempt, bool) {
 	id := ended.ID
 	mustNotRunAgain := m.atMostOnce[id] && !ended.Final && mayHaveRun(ended.Outcome)
@@ -125,7 +125,8 @@
 			attempt.Timeout = prematureTimeout // expires before any machine accepts
 		}
 	case audit.RuleDraining:
-		// Rotates over the draining machines: an offer to an unreachable one waits for a connection and is never sent.
+		// Rotates over the draining machines: an offer to an unreachable machine waits for a connection and is never
+		// sent.
 		if draining := m.matchingMachines("", isDraining); len(draining) > 0 {
 			attempt.Machine = draining[m.requests%len(draining)]
 		}
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -71,7 +71,8 @@
 	return due
 }
 
-// stormActions returns an announcement for each container that runs and a withdrawal for each that ended.
+// stormActions returns an announcement for each container that began to run and a withdrawal for each container that
+// ended.
 func (r *routeMutant) stormActions(events []announce.Event) []announce.Action {
 	var actions []announce.Action
 	for _, event := range events {
