--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -25,8 +25,8 @@
 type Check struct {
 	Seed         uint64
 	Commits      int
-	RandomStates int    // random states per operation, beside those with all unsynced data lost and all kept
-	Sabotage     string // SabotageSync, SabotageChecksum or none
+	RandomStates int    // random states per operation, besides all unsynced data lost and all kept
+	Sabotage     string // SabotageSync, SabotageChecksum, or empty for none
 
 	Operations    int // file-system operations of the history
 	States        int // states recovered after one crash
@@ -138,14 +138,14 @@
 
 // crashPoint is a crash after one of the operations of a history.
 type crashPoint struct {
-	after     int // number of operations before the crash
-	commits   []commitPoint
-	minCommit int // the last commit that recovery must find
-	maxCommit int // the last commit that recovery may find
+	operations int // number of operations before the crash
+	commits    []commitPoint
+	minCommit  int // the last commit that recovery must find
+	maxCommit  int // the last commit that recovery may find
 }
 
 func newCrashPoint(after int, commits []commitPoint) crashPoint {
-	point := crashPoint{after: after, commits: commits}
+	point := crashPoint{operations: after, commits: commits}
 	for i, commit := range commits {
 		if i > 0 && commit.lastOperation <= after && commit.durable {
 			point.minCommit = i
@@ -175,8 +175,8 @@
 	return c.flipBits(fs, commits, r)
 }
 
-// secondCrashInterval is the interval of operations at which the recovery of every state is crashed; after the other
-// operations only the recovery of the last state is.
+// secondCrashInterval is the interval, in operations, of the crash points at which the recovery of every state is
+// crashed. At the other crash points, only the recovery of the last state is crashed.
 const secondCrashInterval = 7
 
 // checkCrashPoint recovers from the states that a crash may leave: all unsynced data lost, all of it kept, and random
@@ -187,13 +187,13 @@
 		survivals = append(survivals, faultfs.KeepSome(r))
 	}
 	for n, survival := range survivals {
-		crashed := fs.Crash(point.after, survival)
+		crashed := fs.Crash(point.operations, survival)
 		before := crashed.OperationCount()
 		recovered, err := c.recoverState(crashed)
 		if err != nil {
 			return fmt.Errorf(
 				"crash after operation %d of %d, survival %d: recovery failed: %w",
-				point.after,
+				point.operations,
 				c.Operations,
 				n,
 				err,
@@ -201,9 +201,9 @@
 		}
 		c.States++
 		if err := point.check(recovered); err != nil {
-			return fmt.Errorf("crash after operation %d of %d, survival %d: %w", point.after, c.Operations, n, err)
+			return fmt.Errorf("crash after operation %d of %d, survival %d: %w", point.operations, c.Operations, n, err)
 		}
-		if n < len(survivals)-1 && point.after%secondCrashInterval != 0 {
+		if n < len(survivals)-1 && point.operations%secondCrashInterval != 0 {
 			continue
 		}
 		if err := c.crashRecovery(crashed, before, point, r); err != nil {
@@ -220,7 +220,7 @@
 		if err != nil {
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: recovery failed: %w",
-				point.after,
+				point.operations,
 				again-before,
 				err,
 			)
@@ -229,7 +229,7 @@
 		if err := point.check(recovered); err != nil {
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: %w",
-				point.after,
+				point.operations,
 				again-before,
 				err,
 			)
@@ -259,7 +259,8 @@
 }
 
 // flipBits flips single bits in the files of a cleanly closed log. Recovery must detect each flip, except in the last
-// group: a damaged last group cannot be told from one that a crash truncated, and recovery returns the state before it.
+// group: a damaged last group cannot be distinguished from a group that a crash truncated, and recovery returns the
+// state before that group.
 func (c *Check) flipBits(fs *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
 	names, err := fs.List()
 	if err != nil {
--- a/internal/testbed/simulation/machine.go
+++ b/internal/testbed/simulation/machine.go
@@ -19,17 +19,17 @@
 	id          scheduler.MachineID
 	up          bool
 	incarnation int
-	started     scheduler.Time // 0: long ago
-	busy        int
+	startedAt   scheduler.Time // 0: long ago
+	starting    int            // number of starts in progress
 	queue       []*simAttempt
-	cores       float64
-	images      []string
+	cores       float64  // cores of queued, starting and running containers
+	images      []string // cached images, most recently used first
 }
 
 // crash takes the machine down. Its containers and cached images are lost, and queued attempts end as lost.
 func (m *simMachine) crash() {
 	m.up = false
-	m.busy, m.cores, m.images = 0, 0, nil
+	m.starting, m.cores, m.images = 0, 0, nil
 	m.incarnation++
 	queue := m.queue
 	m.queue = nil
@@ -62,14 +62,14 @@
 // their deadline. A start in progress is completed even if its deadline passes.
 func (m *simMachine) startQueued() {
 	sim := m.simulation
-	for m.busy < simConcurrentStarts && len(m.queue) > 0 {
+	for m.starting < simConcurrentStarts && len(m.queue) > 0 {
 		attempt := m.queue[0]
 		m.queue = m.queue[1:]
 		if sim.now >= attempt.deadline {
 			m.cores -= attempt.cores
 			continue
 		}
-		m.busy++
+		m.starting++
 		incarnation := m.incarnation
 		sim.schedule(m.startTime(attempt.service), func() { m.finishStart(attempt, incarnation) })
 	}
@@ -77,15 +77,15 @@
 
 // startTime returns how long a start takes: longer if the image is not cached, and in slow start.
 func (m *simMachine) startTime(service string) scheduler.Time {
-	took := float64(simStartTime)
+	startTime := float64(simStartTime)
 	if !m.useImage(service) {
-		took *= simImageMissFactor
+		startTime *= simImageMissFactor
 	}
 	period := m.simulation.config.SlowStartPeriod
-	if up := m.simulation.now - m.started; m.started > 0 && up < period {
-		took /= simSlowStartPace + (1-simSlowStartPace)*float64(up)/float64(period)
+	if uptime := m.simulation.now - m.startedAt; m.startedAt > 0 && uptime < period {
+		startTime /= simSlowStartPace + (1-simSlowStartPace)*float64(uptime)/float64(period)
 	}
-	return scheduler.Time(took)
+	return scheduler.Time(startTime)
 }
 
 func (m *simMachine) finishStart(attempt *simAttempt, incarnation int) {
@@ -94,7 +94,7 @@
 		sim.schedule(simLatency, func() { attempt.finish(scheduler.OutcomeLost, scheduler.ReasonNone) })
 		return
 	}
-	m.busy--
+	m.starting--
 	sim.schedule(simLatency, func() { attempt.accept(incarnation) })
 	m.startQueued()
 }
--- a/internal/testbed/simulation/recovery.go
+++ b/internal/testbed/simulation/recovery.go
@@ -8,13 +8,13 @@
 // Recovery describes the goodput of a run before and after a fault.
 type Recovery struct {
 	Before, Lowest   float64 // goodput per second: mean before the fault, minimum after it
-	SecondsToRecover int     // from the fault until goodput has recovered; -1: not in the run
-	Lost             float64 // starts within the latency objective missing after the fault, compared with before
+	SecondsToRecover int     // from the fault until goodput has recovered; -1: it did not recover in the run
+	Lost             float64 // starts in time that are missing after the fault, compared with the mean before it
 }
 
 const (
 	warmupSeconds  = 2    // excluded from the mean before the fault
-	recoveryShare  = 0.95 // of the goodput before
+	recoveryShare  = 0.95 // of the goodput before the fault
 	recoveryWindow = 3    // seconds over which that share must hold on average
 )
 
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -23,8 +23,8 @@
 	Restart   int
 	RestartAt scheduler.Time
 	DownFor   scheduler.Time
-	// SchedulersRestartAt is when all schedulers restart; 0: they do not. DropLimiterState has them restart without the
-	// state of their limiters.
+	// SchedulersRestartAt is when all schedulers restart; 0: they do not restart. DropLimiterState has them restart
+	// without the state of their limiters.
 	SchedulersRestartAt scheduler.Time
 	DropLimiterState    bool
 
@@ -103,7 +103,7 @@
 const (
 	simLatency         = 5 // latency of a message, in tenths of a millisecond
 	simServices        = 60
-	simCores           = 0.5 // of a container
+	simCores           = 0.5 // cores of a container
 	simSlowStartBudget = 60  // slow-start budget of a machine in a window, from all schedulers
 )
 
@@ -209,7 +209,7 @@
 		}
 		all = append(
 			all,
-			scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.started},
+			scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.startedAt},
 		)
 	}
 	return all
@@ -232,7 +232,7 @@
 	sim.schedule(sim.DownFor, func() {
 		for i := range min(sim.Restart, len(sim.fleet)) {
 			m := sim.fleet[i]
-			m.up, m.started = true, sim.now
+			m.up, m.startedAt = true, sim.now
 			m.incarnation++
 		}
 		sim.schedule(scheduler.Second/4, report)
