--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -171,7 +171,7 @@
 			Size:     section.Size.Value,
 		}
 		if !faults.Known(fault.Kind) {
-			const message = "%q is no kind of fault; there are %q"
+			const message = "%q is not a kind of fault; the kinds are %q"
 			return nil, source.ErrorAt(section.Kind.Position, message, fault.Kind, faults.Kinds())
 		}
 		if section.Zone.IsSet() {
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -84,7 +84,7 @@
 	testutil.NoError(t, err)
 	defer c.Shutdown()
 	schedulerProcess := c.Schedulers[0]
-	c.Clients.MaxPending = 1500 // more would pile up unread in front of a process that is short of processor time
+	c.Clients.MaxPending = 1500 // more requests would queue unread if a process is short of processor time
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 attempts are open", func() bool {
 		stats, err := schedulerProcess.Status()
@@ -133,7 +133,7 @@
 // The error names the value or key that is wrong.
 func TestInvalidScenarioFileIsRefused(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
-		{"no such kind of fault", "kind: slow", "kind: sloth", `"sloth" is no kind of fault`},
+		{"no such kind of fault", "kind: slow", "kind: sloth", `"sloth" is not a kind of fault`},
 		{"no such zone", "zone: middle", "zone: centre", `"centre" is none of north, middle, south`},
 		{"no such workload", "workload_class: matcher", "workload_class: mather", `"mather" is none of`},
 		{"missing", "seed: 11\n", "", "seed is missing"},
@@ -148,8 +148,8 @@
 	}
 }
 
-// Simulated faults are replayed by their counterparts. Those without one are reported, and a file that is not a
-// simulated day is refused.
+// Simulated faults are replayed by their counterparts. Faults without a counterpart are reported, and a file that is
+// not a simulated day is refused.
 func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
 	testutil.WriteFile(t, path, []byte(`{"site":"s","length":9000000,
--- a/internal/testbed/scenario/schema.go
+++ b/internal/testbed/scenario/schema.go
@@ -9,7 +9,7 @@
 	Name       strictyaml.String     `yaml:"name"`
 	Seed       strictyaml.Count      `yaml:"seed"`
 	Length     strictyaml.Duration   `yaml:"length"`                 // until the last submission
-	Settle     strictyaml.Duration   `yaml:"settle"`                 // time for outstanding replies after that
+	Settle     strictyaml.Duration   `yaml:"settle"`                 // wait for replies after the last submission
 	Schedulers strictyaml.Count      `yaml:"scheduler_count"`        // at least one
 	Template   strictyaml.String     `yaml:"scheduler_config"`       // relative to the folder of this file
 	Rate       strictyaml.Float      `yaml:"submissions_per_second"` // of all clients
--- a/internal/testbed/simnet/connection.go
+++ b/internal/testbed/simnet/connection.go
@@ -17,13 +17,13 @@
 	closedAt time.Duration
 	accepted bool // the process serves the connection, or has initiated it
 
-	toPeer    pipe
-	toProcess pipe
-	input     []byte // bytes that have arrived and that the process has not read
-	inputEnds bool   // the end of the peer's stream has arrived
-	reset     bool   // a reset by the peer has arrived
-	bytesRead int    // number of bytes that the process has read
-	readMarks []readMark
+	toPeer     pipe
+	toProcess  pipe
+	input      []byte // bytes that have arrived and that the process has not read
+	inputEnded bool   // the end of the peer's stream has arrived
+	reset      bool   // a reset by the peer has arrived
+	bytesRead  int    // number of bytes that the process has read
+	readMarks  []readMark
 }
 
 // pipe is one direction of a connection.
@@ -54,13 +54,13 @@
 // free returns how many bytes a write can take.
 func (p *pipe) free() int { return p.capacity - p.buffered }
 
-// scheduleArrival schedules a callback at the receiving end of a pipe, after all that was sent before.
+// scheduleArrival schedules a callback at the receiving end of a pipe, after everything that was sent earlier.
 func (c *connection) scheduleArrival(p *pipe, do func()) {
 	p.lastArrival = max(p.lastArrival, c.network.now+c.network.delay())
 	c.network.After(p.lastArrival-c.network.now, do)
 }
 
-// split returns the parts in which data arrives: at random, one or two.
+// split divides data at random into one or two parts, which arrive one after the other.
 func (c *connection) split(data []byte) [][]byte {
 	data = bytes.Clone(data)
 	if len(data) < 2 || !c.network.oneIn(splitOneIn) {
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -42,7 +42,7 @@
 	woken     bool
 	killed    bool
 	iteration int
-	stall     time.Duration // time for which the process is still to be stalled
+	stallLeft time.Duration // remaining time for which the process is suspended
 }
 
 // NewKernel returns a kernel for a process on the network.
@@ -52,7 +52,7 @@
 func (k *Kernel) Kill() { k.killed = true }
 
 // Stall suspends the process for a time from now on. It is called while the process waits.
-func (k *Kernel) Stall(span time.Duration) { k.stall += span }
+func (k *Kernel) Stall(span time.Duration) { k.stallLeft += span }
 
 // Iteration returns the number of calls of Wait so far.
 func (k *Kernel) Iteration() int { return k.iteration }
@@ -150,9 +150,9 @@
 // runPeers runs the callbacks that are due, and those that become due while the process is stalled.
 func (k *Kernel) runPeers() {
 	k.network.runDue()
-	for k.stall > 0 {
-		span := k.stall
-		k.stall = 0
+	for k.stallLeft > 0 {
+		span := k.stallLeft
+		k.stallLeft = 0
 		k.network.RunFor(span)
 	}
 }
--- a/internal/testbed/simnet/peer.go
+++ b/internal/testbed/simnet/peer.go
@@ -34,7 +34,8 @@
 	Delay  time.Duration      // additional delay of connection attempts
 }
 
-// Listen sets the endpoint that answers the process's connection attempts to an address. Without one they are refused.
+// Listen sets the endpoint that answers the process's connection attempts to an address. Attempts to connect to an
+// address without an endpoint are refused.
 func (n *Network) Listen(address netip.AddrPort, endpoint *Endpoint) { n.endpoints[address] = endpoint }
 
 // Dial connects a peer to a listener of the process.
@@ -80,7 +81,7 @@
 		return
 	}
 	p.conn.toProcess.ended = true
-	p.conn.scheduleArrival(&p.conn.toProcess, func() { p.conn.inputEnds = true })
+	p.conn.scheduleArrival(&p.conn.toProcess, func() { p.conn.inputEnded = true })
 }
 
 // Close closes the peer's end. Bytes that arrive from the process afterwards are answered with a reset.
@@ -125,7 +126,7 @@
 // ClosedAt returns when the process closed its end, or 0 if it has not.
 func (p *PeerConn) ClosedAt() time.Duration { return p.conn.closedAt }
 
-// Unread returns how many of the bytes that the peer has written the process has not read.
+// Unread returns the number of bytes that the peer has written and the process has not read.
 func (p *PeerConn) Unread() int { return p.written - p.conn.bytesRead }
 
 func (p *PeerConn) establish() {
--- a/internal/testbed/simnet/simnet_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -21,7 +21,7 @@
 	peerAddr = netip.MustParseAddrPort("10.0.0.2:2")
 )
 
-// recorder writes the events of a connection to a transcript, as a handler of a peer or of the loop.
+// recorder writes the events of a connection to a transcript.
 type recorder struct {
 	name    string
 	network *Network
@@ -162,7 +162,7 @@
 	}
 }
 
-// A reset and the end of a stream arrive after the bytes that were sent before.
+// A reset and the end of a stream arrive after the bytes that were sent before them.
 func TestEndArrivesAfterSentBytes(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/testbed/simnet/sockets.go
+++ b/internal/testbed/simnet/sockets.go
@@ -46,7 +46,7 @@
 	if len(c.input) > 0 {
 		events |= unix.EPOLLIN
 	}
-	if c.inputEnds {
+	if c.inputEnded {
 		events |= unix.EPOLLIN | unix.EPOLLRDHUP
 		if c.toPeer.ended {
 			events |= unix.EPOLLHUP
@@ -179,7 +179,7 @@
 		return s.conn.read(p), nil
 	case s.conn.reset:
 		return -1, unix.ECONNRESET
-	case s.conn.inputEnds:
+	case s.conn.inputEnded:
 		return 0, nil
 	}
 	return -1, unix.EAGAIN
