--- a/internal/testbed/audit/history_test.go
+++ b/internal/testbed/audit/history_test.go
@@ -144,7 +144,7 @@
 		&protocol.PlacementReply{ContainerID: "x", Verdict: protocol.VerdictFailed, Message: protocol.MessageCancelled})
 }
 
-// stopX notifies the client that container x ended by a cancel.
+// stopX notifies the client that a cancel has stopped container x.
 func (h *history) stopX(at int64) {
 	h.putFrame(at, faultproxy.FromScheduler, clientConn,
 		&protocol.Termination{ContainerID: "x", Outcome: protocol.OutcomeStopped})
--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -17,7 +17,7 @@
 	Violations []string
 
 	config          scheduler.Config
-	drainGrace      scheduler.Time // how long a scheduler may offer to a machine after it learned of the drain
+	drainGrace      scheduler.Time // how long offers to a machine are allowed after it is known to be draining or gone
 	incarnations    []*incarnation // by scheduler index
 	attemptsChecked int
 }
@@ -33,7 +33,7 @@
 	request  scheduler.PlacementRequest
 	attempts []*attempt
 	replied  bool
-	settled  bool // no further reply or attempt is due
+	closed   bool // no further reply or attempt is due
 	running  bool
 }
 
@@ -107,7 +107,7 @@
 		}
 	case scheduler.ContainerRemoved:
 		if container := in.containers[event.ID]; container != nil {
-			container.replied, container.settled = true, true
+			container.replied, container.closed = true, true
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	running.setLocation(in.machines[event.Machine])
 	in.containers[event.ID] = &container{
 		request: event.PlacementRequest, attempts: []*attempt{running},
-		replied: true, settled: true, running: true,
+		replied: true, closed: true, running: true,
 	}
 }
 
@@ -130,8 +130,8 @@
 		}
 	}
 	if event.Final {
-		c.replied, c.settled = true, true
-	} else if !c.settled {
+		c.replied, c.closed = true, true
+	} else if !c.closed {
 		c.replied = false // an accept that crossed the cancel of its attempt does not count as the reply
 	}
 }
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// The checker reports a violation for the mutant of each rule, and the sequence that it returns breaks the rule again
-// when it is replayed.
+// The checker reports a violation for the mutant of each rule, and the failing sequence breaks the rule again when it
+// is replayed.
 func TestCheckerDetectsEachMutant(t *testing.T) {
 	for rule, world := range []World{
 		tinyWorld().withRequests(0).withEvents("request, timeout x, full x, wait"),
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -61,13 +61,13 @@
 		c.violate(audit.RuleFinalReply, "%s gets a reply but none is due", id)
 		return nil, false
 	}
-	found.replied, found.settled = true, true
+	found.replied, found.closed = true, true
 	return found, true
 }
 
 func (c *Checker) checkAttempt(in *incarnation, now scheduler.Time, start scheduler.StartAttempt) {
 	container, m := in.containers[start.ID], in.machines[start.Machine]
-	if container == nil || container.replied || container.settled {
+	if container == nil || container.replied || container.closed {
 		c.violate(audit.RuleFinalReply, "%s is offered to %s without an open request", start.ID, start.Machine)
 		return
 	}
@@ -90,7 +90,7 @@
 
 // checkIdempotency checks an attempt against the earlier ones of its container.
 func (c *Checker) checkIdempotency(id scheduler.ContainerID, container *container, next *attempt) {
-	var firstRun *attempt // the first that may have run
+	var firstRun *attempt // the first attempt that may have run
 	for _, earlier := range container.attempts {
 		if earlier.machine == next.machine {
 			c.Violations = append(c.Violations, fmt.Sprintf("placement: %s is offered to %s again", id, next.machine))
