--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -144,13 +144,13 @@
 	maxCommit  int // the last commit that recovery may find
 }
 
-func newCrashPoint(after int, commits []commitPoint) crashPoint {
-	point := crashPoint{operations: after, commits: commits}
+func newCrashPoint(operations int, commits []commitPoint) crashPoint {
+	point := crashPoint{operations: operations, commits: commits}
 	for i, commit := range commits {
-		if i > 0 && commit.lastOperation <= after && commit.durable {
+		if i > 0 && commit.lastOperation <= operations && commit.durable {
 			point.minCommit = i
 		}
-		if i > 0 && commit.firstOperation < after {
+		if i > 0 && commit.firstOperation < operations {
 			point.maxCommit = i
 		}
 	}
@@ -167,8 +167,8 @@
 	}
 	c.Operations = fs.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
-	for after := 0; after <= c.Operations; after++ {
-		if err := c.checkCrashPoint(fs, newCrashPoint(after, commits), r); err != nil {
+	for operations := 0; operations <= c.Operations; operations++ {
+		if err := c.checkCrashPoint(fs, newCrashPoint(operations, commits), r); err != nil {
 			return err
 		}
 	}
@@ -215,13 +215,13 @@
 
 // crashRecovery crashes the recovery from a crash after each of its operations.
 func (c *Check) crashRecovery(crashed *faultfs.FS, before int, point crashPoint, r *rand.Rand) error {
-	for again := before; again <= crashed.OperationCount(); again++ {
-		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
+	for operations := before; operations <= crashed.OperationCount(); operations++ {
+		recovered, err := c.recoverState(crashed.Crash(operations, faultfs.KeepSome(r)))
 		if err != nil {
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: recovery failed: %w",
 				point.operations,
-				again-before,
+				operations-before,
 				err,
 			)
 		}
@@ -230,7 +230,7 @@
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: %w",
 				point.operations,
-				again-before,
+				operations-before,
 				err,
 			)
 		}
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -45,9 +45,9 @@
 	deprecations := readScenario(t, "testdata/legacy/bad-day.yaml").Deprecations
 	for _, alias := range keyAliases {
 		t.Run(alias.Section+" "+alias.Old, func(t *testing.T) {
-			today, count := strings.TrimPrefix(alias.Section+"."+alias.New, "."), 0
+			newKey, count := strings.TrimPrefix(alias.Section+"."+alias.New, "."), 0
 			for _, d := range deprecations {
-				if d.New == today && strings.HasSuffix(d.Old, alias.Old) {
+				if d.New == newKey && strings.HasSuffix(d.Old, alias.Old) {
 					count++
 				}
 			}
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// collectReady fills events with the ready descriptors and returns their number. Their order is random, as epoll
-// guarantees none.
+// collectReady fills events with the ready descriptors and returns their number. The order of the descriptors is
+// random, as epoll guarantees no order.
 func (k *Kernel) collectReady(events []unix.EpollEvent) int {
 	found := events[:0:len(events)]
 	if k.woken {
@@ -168,8 +168,8 @@
 		if s == nil || !s.watched || len(found) == cap(found) {
 			continue
 		}
-		if happened := s.events() & (s.watchedEvents | unix.EPOLLERR | unix.EPOLLHUP); happened != 0 {
-			found = append(found, unix.EpollEvent{Fd: int32(s.fd), Events: happened})
+		if pending := s.events() & (s.watchedEvents | unix.EPOLLERR | unix.EPOLLHUP); pending != 0 {
+			found = append(found, unix.EpollEvent{Fd: int32(s.fd), Events: pending})
 		}
 	}
 	k.network.random.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -23,7 +23,7 @@
 	Restart   int
 	RestartAt scheduler.Time
 	DownFor   scheduler.Time
-	// SchedulersRestartAt is when all schedulers restart; 0: they do not restart. DropLimiterState has them restart
+	// SchedulersRestartAt is when all schedulers restart; 0: they do not restart. With DropLimiterState, they restart
 	// without the state of their limiters.
 	SchedulersRestartAt scheduler.Time
 	DropLimiterState    bool
@@ -40,8 +40,8 @@
 
 	Seconds []SimSecond
 	Actions int
-	// ScheduledRetries counts the tries that came at the time that a limiter gave, AdmittedRetries those of them that
-	// were admitted.
+	// ScheduledRetries counts the tries that came at the time that a limiter gave. AdmittedRetries counts how many of
+	// these tries were admitted.
 	ScheduledRetries, AdmittedRetries int
 }
 
