--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -25,8 +25,8 @@
 type Check struct {
 	Seed         uint64
 	Commits      int
-	RandomStates int    // random states per operation, beside those with all unsynced data lost and all kept
-	Sabotage     string // SabotageSync, SabotageChecksum or none
+	RandomStates int    // random states per operation, besides all unsynced data lost and all kept
+	Sabotage     string // SabotageSync, SabotageChecksum, or empty for none
 
 	Operations    int // file-system operations of the history
 	States        int // states recovered after one crash
@@ -138,19 +138,19 @@
 
 // crashPoint is a crash after one of the operations of a history.
 type crashPoint struct {
-	after     int // number of operations before the crash
-	commits   []commitPoint
-	minCommit int // the last commit that recovery must find
-	maxCommit int // the last commit that recovery may find
+	operations int // number of operations before the crash
+	commits    []commitPoint
+	minCommit  int // the last commit that recovery must find
+	maxCommit  int // the last commit that recovery may find
 }
 
-func newCrashPoint(after int, commits []commitPoint) crashPoint {
-	point := crashPoint{after: after, commits: commits}
+func newCrashPoint(operations int, commits []commitPoint) crashPoint {
+	point := crashPoint{operations: operations, commits: commits}
 	for i, commit := range commits {
-		if i > 0 && commit.lastOperation <= after && commit.durable {
+		if i > 0 && commit.lastOperation <= operations && commit.durable {
 			point.minCommit = i
 		}
-		if i > 0 && commit.firstOperation < after {
+		if i > 0 && commit.firstOperation < operations {
 			point.maxCommit = i
 		}
 	}
@@ -167,16 +167,16 @@
 	}
 	c.Operations = fs.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
-	for after := 0; after <= c.Operations; after++ {
-		if err := c.checkCrashPoint(fs, newCrashPoint(after, commits), r); err != nil {
+	for operations := 0; operations <= c.Operations; operations++ {
+		if err := c.checkCrashPoint(fs, newCrashPoint(operations, commits), r); err != nil {
 			return err
 		}
 	}
 	return c.flipBits(fs, commits, r)
 }
 
-// secondCrashInterval is the interval of operations at which the recovery of every state is crashed; after the other
-// operations only the recovery of the last state is.
+// secondCrashInterval is the interval, in operations, of the crash points at which the recovery of every state is
+// crashed. At the other crash points, only the recovery of the last state is crashed.
 const secondCrashInterval = 7
 
 // checkCrashPoint recovers from the states that a crash may leave: all unsynced data lost, all of it kept, and random
@@ -187,13 +187,13 @@
 		survivals = append(survivals, faultfs.KeepSome(r))
 	}
 	for n, survival := range survivals {
-		crashed := fs.Crash(point.after, survival)
+		crashed := fs.Crash(point.operations, survival)
 		before := crashed.OperationCount()
 		recovered, err := c.recoverState(crashed)
 		if err != nil {
 			return fmt.Errorf(
 				"crash after operation %d of %d, survival %d: recovery failed: %w",
-				point.after,
+				point.operations,
 				c.Operations,
 				n,
 				err,
@@ -201,9 +201,9 @@
 		}
 		c.States++
 		if err := point.check(recovered); err != nil {
-			return fmt.Errorf("crash after operation %d of %d, survival %d: %w", point.after, c.Operations, n, err)
+			return fmt.Errorf("crash after operation %d of %d, survival %d: %w", point.operations, c.Operations, n, err)
 		}
-		if n < len(survivals)-1 && point.after%secondCrashInterval != 0 {
+		if n < len(survivals)-1 && point.operations%secondCrashInterval != 0 {
 			continue
 		}
 		if err := c.crashRecovery(crashed, before, point, r); err != nil {
@@ -215,13 +215,13 @@
 
 // crashRecovery crashes the recovery from a crash after each of its operations.
 func (c *Check) crashRecovery(crashed *faultfs.FS, before int, point crashPoint, r *rand.Rand) error {
-	for again := before; again <= crashed.OperationCount(); again++ {
-		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
+	for operations := before; operations <= crashed.OperationCount(); operations++ {
+		recovered, err := c.recoverState(crashed.Crash(operations, faultfs.KeepSome(r)))
 		if err != nil {
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: recovery failed: %w",
-				point.after,
-				again-before,
+				point.operations,
+				operations-before,
 				err,
 			)
 		}
@@ -229,8 +229,8 @@
 		if err := point.check(recovered); err != nil {
 			return fmt.Errorf(
 				"crash after operation %d, and again after operation %d of the recovery: %w",
-				point.after,
-				again-before,
+				point.operations,
+				operations-before,
 				err,
 			)
 		}
@@ -259,7 +259,8 @@
 }
 
 // flipBits flips single bits in the files of a cleanly closed log. Recovery must detect each flip, except in the last
-// group: a damaged last group cannot be told from one that a crash truncated, and recovery returns the state before it.
+// group: a damaged last group cannot be distinguished from a group that a crash truncated, and recovery returns the
+// state before that group.
 func (c *Check) flipBits(fs *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
 	names, err := fs.List()
 	if err != nil {
--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -17,7 +17,7 @@
 	Violations []string
 
 	config          scheduler.Config
-	drainGrace      scheduler.Time // how long after a drain is seen the machine may still get attempts
+	drainGrace      scheduler.Time // how long offers to a machine are allowed after it is known to be draining or gone
 	incarnations    []*incarnation // by scheduler index
 	attemptsChecked int
 }
@@ -33,7 +33,7 @@
 	request  scheduler.PlacementRequest
 	attempts []*attempt
 	replied  bool
-	settled  bool // no further reply or attempt is due
+	closed   bool // no further reply or attempt is due
 	running  bool
 }
 
@@ -49,12 +49,13 @@
 
 type machine struct {
 	scheduler.MachineEntry
-	unavailableSince scheduler.Time // when the scheduler learned that it is draining or gone; 0: it is available
+	unavailableSince scheduler.Time // when the scheduler learned that the machine is draining or gone; 0: available
 }
 
+// recordedSend is an offer or a probe that a scheduler sent to a machine.
 type recordedSend struct {
 	at            scheduler.Time
-	knewSlowStart bool
+	knewSlowStart bool // the scheduler knew that the machine was in slow start
 }
 
 // NewChecker returns a checker for schedulers whose configurations differ only in the index.
@@ -74,8 +75,9 @@
 	}
 }
 
-// Restarted begins the next incarnation of a scheduler. The open requests of the one before are left to their clients.
-func (c *Checker) Restarted(index int) {
+// ObserveRestart begins the next incarnation of a scheduler. No replies are due to the open requests of the previous
+// incarnation: their clients handle the restart.
+func (c *Checker) ObserveRestart(index int) {
 	sent := c.incarnations[index].sent
 	c.incarnations[index] = newIncarnation()
 	c.incarnations[index].sent = sent
@@ -105,7 +107,7 @@
 		}
 	case scheduler.ContainerRemoved:
 		if container := in.containers[event.ID]; container != nil {
-			container.replied, container.settled = true, true
+			container.replied, container.closed = true, true
 		}
 	}
 }
@@ -115,7 +117,7 @@
 	running.setLocation(in.machines[event.Machine])
 	in.containers[event.ID] = &container{
 		request: event.PlacementRequest, attempts: []*attempt{running},
-		replied: true, settled: true, running: true,
+		replied: true, closed: true, running: true,
 	}
 }
 
@@ -128,8 +130,8 @@
 		}
 	}
 	if event.Final {
-		c.replied, c.settled = true, true
-	} else if !c.settled {
+		c.replied, c.closed = true, true
+	} else if !c.closed {
 		c.replied = false // an accept that crossed the cancel of its attempt does not count as the reply
 	}
 }
@@ -185,7 +187,8 @@
 	}
 }
 
-// sharesScope reports whether two attempts went to machines of one scope, or may have gone where a location is unknown.
+// sharesScope reports whether two attempts went to machines in one scope. It also returns true if they may have,
+// because a location is unknown.
 func (a *attempt) sharesScope(other *attempt, scope scheduler.Scope) bool {
 	unknown := a.locationUnknown || other.locationUnknown
 	switch scope {
