--- a/internal/testbed/platformcheck/campaign.go
+++ b/internal/testbed/platformcheck/campaign.go
@@ -25,8 +25,8 @@
 // Result is the result of a campaign.
 type Result struct {
 	Seeds, Events int     // played
-	First         Failure // failure of the lowest seed; has no violations if no run failed
-	Failed        int     // runs
+	First         Failure // run with the lowest failing seed; has no violations if no run failed
+	Failed        int     // runs with violations
 }
 
 // Runs returns the number of runs.
--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -91,7 +91,7 @@
 	w.discovery.publish(false, m)
 }
 
-// setState changes the state of the machine, which has yet to be published.
+// setState changes the state of the machine, but does not publish the change.
 func (m *machine) setState(state string) {
 	m.stateVersion++
 	m.state = state
@@ -123,7 +123,7 @@
 func (m *machine) restart() {
 	m.stop()
 	m.recordStart()
-	// Offers that were decided before the restart and sent after it may be considered lost with the earlier start.
+	// The process may consider an offer lost if it decided the offer before the restart and sent it after the restart.
 	m.extendUncertainty(m.w.now() + m.w.params.slowStart.connectTimeout)
 }
 
@@ -222,14 +222,14 @@
 func (w *World) excusePlacements() {
 	for _, m := range w.machines {
 		for _, p := range m.stoppedPlacements {
-			p.endNotOwed = true
+			p.endReportExcused = true
 		}
 		m.stoppedPlacements = nil
 	}
 	leftUnread := slices.ContainsFunc(w.clients, func(c *client) bool { return c.conn.Congested() })
 	for _, p := range w.knownPlacements() {
-		if leftUnread && !p.runs() || w.killed && p.endRead {
-			p.endNotOwed = true
+		if leftUnread && !p.runs() || w.processKilled && p.endRead {
+			p.endReportExcused = true
 		}
 	}
 }
@@ -237,7 +237,7 @@
 // excuseRequests marks the open requests, for which a killed process owes no answer.
 func (w *World) excuseRequests() {
 	for _, c := range w.clients {
-		for _, r := range c.open {
+		for _, r := range c.requests {
 			r.excused = true
 		}
 	}
--- a/internal/testbed/platformcheck/claimactions.go
+++ b/internal/testbed/platformcheck/claimactions.go
@@ -80,7 +80,7 @@
 // claimOwnRequest makes a client claim that the container of its own open request runs. The claim cancels the request.
 func (w *World) claimOwnRequest(e Event) {
 	w.withClient(e, func(c *client) {
-		for _, r := range c.open {
+		for _, r := range c.requests {
 			if r.awaitsAnswer() && r.sentAt != 0 {
 				r.falselyClaimed, r.cancelled = true, true
 				m := w.targetMachine(e)
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -25,11 +25,11 @@
 	persistent    bool          // reconnects when its connection ends
 	servedAt      time.Duration // when it first received a line
 	falseClaimer  bool          // makes false claims and acknowledges nothing
-	misbehaved    bool          // the rules do not cover it
+	misbehaved    bool          // sends invalid input, false claims or nothing; the rules do not cover it
 	unreadUntil   time.Duration // latest time until which it leaves its input unread
 	onEstablished []func()      // called once the connection is established
 	lines         lineReader
-	open          []*request
+	requests      []*request // all that it submitted
 }
 
 // connect connects a new client.
@@ -86,12 +86,12 @@
 func (c *client) Ended(conn *simnet.PeerConn, _ error) {
 	conn.Close()
 	c.remove()
-	for _, r := range c.open {
+	for _, r := range c.requests {
 		if !c.misbehaved {
 			c.w.checker.recordConnectionEnd(r, c.w.transitLimit())
 		}
 	}
-	if c.persistent && !c.w.finished {
+	if c.persistent && !c.w.runEnded {
 		c.w.network.After(reconnectDelay, c.w.connectPersistent)
 	}
 }
@@ -112,7 +112,7 @@
 func (c *client) disconnect(end func(*simnet.PeerConn)) {
 	end(c.conn)
 	c.remove()
-	for _, r := range c.open {
+	for _, r := range c.requests {
 		r.excused = true
 		if r.placement != nil {
 			continue
@@ -172,7 +172,7 @@
 			p.cancelled = p.cancelled || r.cancelled
 			// If the client reads the accept after its connection was closed, other clients may have sent their claims
 			// without this container.
-			p.endNotOwed = p.endNotOwed || c.conn.ClosedAt() > 0
+			p.endReportExcused = p.endReportExcused || c.conn.ClosedAt() > 0
 			return
 		}
 	}
@@ -211,7 +211,7 @@
 	}
 	r.key = "k" + r.id
 	r.line = r.encode(left, "")
-	c.open = append(c.open, r)
+	c.requests = append(c.requests, r)
 	w.requestIDs = append(w.requestIDs, r.id)
 	w.checker.requests[r.id] = r
 	c.whenEstablished(func() {
@@ -235,7 +235,7 @@
 		r.id, r.class.name, left.Milliseconds(), r.key, idempotency, r.memory, r.service, more, requestDescription)
 }
 
-// lifetimeMillis returns the part of the container's run time, from 0 to 2949 ms, that its ID determines.
+// lifetimeMillis returns the part of the container's run time, from 0 to 2949 ms, that the request's ID determines.
 func (r *request) lifetimeMillis() int64 {
 	var sum int64
 	for _, digit := range []byte(r.id) {
@@ -251,7 +251,7 @@
 
 // cancelOldest cancels the client's oldest open request.
 func (c *client) cancelOldest() {
-	for _, r := range c.open {
+	for _, r := range c.requests {
 		if !r.awaitsAnswer() || r.sentAt == 0 {
 			continue
 		}
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -13,7 +13,7 @@
 
 const (
 	offsetInterval   = time.Second             // between lines with the offset of the last event
-	knownWithin      = 4500 * time.Millisecond // until the process must know an event, whatever the service does
+	knownWithin      = 4500 * time.Millisecond // until the process must know an event, even after faults
 	oldAddressLinger = 1500 * time.Millisecond // after a move, until the old address closes its connections
 )
 
@@ -56,7 +56,7 @@
 	d.publishEvent(listEvent{}, whole, machines)
 }
 
-// publishWithout publishes the whole machine list. It omits a machine, which is gone by that.
+// publishWithout publishes the whole machine list without a machine. The omission reports that the machine is gone.
 func (d *discovery) publishWithout(gone *machine, machines ...*machine) {
 	d.publishEvent(listEvent{changes: []change{{gone, gone.stateVersion}}}, true, machines)
 }
@@ -146,7 +146,7 @@
 	following bool // the process has sent the offset from which it follows
 	sentUpTo  int  // offset of the last event that was written
 	sentAny   bool // an event was written
-	gap       bool // an event was skipped: the process cannot apply later ones
+	gap       bool // an event was skipped: the process cannot apply later events
 }
 
 // Connected implements simnet.PeerHandler.
--- a/internal/testbed/platformcheck/doc.go
+++ b/internal/testbed/platformcheck/doc.go
@@ -9,9 +9,9 @@
 //
 //   - Rule 1: each request gets exactly one final answer, at most half a second after its deadline. The process does
 //     nothing for a request after its answer, or after it has read its cancellation. Each accept comes from a machine.
-//     The end of a running container is reported to a client within 8.5 s. It is reported within a second after the
-//     process has read it from the machine, if the process has served a client all that time and no client has left its
-//     input unread. No other end is reported.
+//     The end of a running container is reported to a client within 8.5 s. Once the process has read the end from the
+//     machine, it reports the end within a second, if it has served a client all that time and no client has left its
+//     input unread. A container that still runs is not reported to have ended.
 //   - Rule 2: no machine is offered a container that may run already, unless the workload class allows it. A request
 //     has at most one attempt in flight.
 //   - Rule 3: a machine gets no offers once the process has known for longer than the grace period that the machine
--- a/internal/testbed/platformcheck/faults.go
+++ b/internal/testbed/platformcheck/faults.go
@@ -51,11 +51,11 @@
 	IgnoredSpread, UncountedClaim, IgnoredSlowStart, WholeBudget,
 }
 
-// UnknownFaultError is returned for a name that is not the name of a fault.
+// UnknownFaultError is returned for an unknown fault name.
 type UnknownFaultError struct{ Name string }
 
 func (e *UnknownFaultError) Error() string {
-	return fmt.Sprintf("there is no fault %q, but %s", e.Name, FaultNames())
+	return fmt.Sprintf("there is no fault %q; the faults are %s", e.Name, FaultNames())
 }
 
 // FaultNames returns the names of all faults, separated by commas.
@@ -75,7 +75,7 @@
 	return NoFault, &UnknownFaultError{name}
 }
 
-// everyNth says how often a counting fault occurs: once in so many times.
+// everyNth is the number of calls of installedFault.occurs for each occurrence of the fault.
 const everyNth = 3
 
 // endDelay is the delay of an end with DelayedEnd.
@@ -109,7 +109,7 @@
 	}
 }
 
-// settings returns the settings that the scheduler gets in place of those of the process.
+// settings returns the settings that the scheduler gets instead of the configured ones.
 func (f *installedFault) settings(config scheduler.Config) scheduler.Config {
 	switch f.fault {
 	case IgnoredSpread:
@@ -205,7 +205,7 @@
 	k.Kernel.Close(fd)
 }
 
-// repeatingKernel reports partial writes as not done at all.
+// repeatingKernel reports a partial write as if nothing had been written.
 type repeatingKernel struct{ eventloop.Kernel }
 
 // Write implements eventloop.Kernel.
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -80,7 +80,8 @@
 
 // recordConnectionEnd checks a request that is open when the process closes its connection.
 //
-// A request in transit may cross the end of its connection. A request that was sent earlier must have been answered.
+// A request that was sent just before the end may still be in transit. A request that was sent earlier must have been
+// answered.
 // The time in which the process was stalled, or in which the client left its input unread, does not count.
 func (c *checker) recordConnectionEnd(r *request, transitLimit time.Duration) {
 	if !r.awaitsAnswer() {
@@ -138,7 +139,8 @@
 	}
 }
 
-// checkDraining checks that the process did not know for longer than the grace period that the machine is unavailable.
+// checkDraining checks that the process sent the offer at most the grace period after it knew that the machine takes no
+// offers.
 func (c *checker) checkDraining(o *offer) {
 	knownAt := o.machine.unavailableKnownAt
 	if knownAt != 0 && o.writtenAt > knownAt+stopSendingWithin+wireSlack && !o.mayBeDelayed {
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -26,7 +26,7 @@
 	state              string
 	startMillis        int64
 	stateVersion       int           // increases with each change of the state
-	unavailableKnownAt time.Duration // when the process knew that it takes no offers; 0: it takes them
+	unavailableKnownAt time.Duration // when the process knew that the machine takes no offers; 0: it does not know
 	unreliable         bool          // the process had cause to consider its containers lost
 
 	firstReadAt      time.Duration // when the process first read of it; 0: not yet
@@ -34,7 +34,7 @@
 	startReadAt      time.Duration   // when the process read its last start; 0: not yet, or it started before the run
 	sends            []time.Duration // times of offers and probes to it
 	falseClaimReadBy int             // last incarnation of the process that has read a false claim for the machine
-	uncertainUntil   time.Duration   // the process may consider offers lost that it sent before
+	uncertainUntil   time.Duration   // the process may consider offers lost that it sent before this time
 	partitioned      bool            // it is cut off; what it sends and receives is deferred
 	deferred         []func()        // called when the partition ends
 	conns            []*machineConn
@@ -103,16 +103,16 @@
 
 // stop stops the machine. Its connections are reset and its containers end without a report.
 func (m *machine) stop() {
-	m.restore() // handle what it was sent before
+	m.restore() // handle the lines that arrived before the stop
 	m.unreliable = true
 	for _, p := range m.containers {
 		p.endedAt = m.w.now()
 		p.offer.release(p.endedAt)
-		p.endNotOwed = p.knownBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0 || p.claimMayBeDropped()
+		p.endReportExcused = p.knownBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0 || p.claimMayBeDropped()
 		m.stoppedPlacements = append(m.stoppedPlacements, p)
 	}
 	for _, r := range m.unreadEnds {
-		r.placement.endNotOwed = true
+		r.placement.endReportExcused = true
 	}
 	m.containers, m.unreadEnds, m.deferred, m.responses = nil, nil, nil, nil
 	for _, conn := range slices.Clone(m.conns) {
@@ -184,7 +184,8 @@
 	m.unreadEnds = slices.DeleteFunc(m.unreadEnds, func(other endNotice) bool { return other == r })
 }
 
-// writeEnd writes the end of a container on the connection of its offer, or on another one if that is closed.
+// writeEnd writes the end of a container on the connection of its offer. If that connection is closed, it uses another
+// one.
 func (m *machine) writeEnd(p *placement, line string) {
 	conn := p.conn
 	if conn == nil || !conn.open {
--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -48,7 +48,7 @@
 
 func (c *machineConn) close() { c.closeAt(c.machine.w.now()) }
 
-// closeAt records that the connection ended at a time. The offers on it are finished since then.
+// closeAt records that the connection ended at a time. The offers on it are finished from that time.
 func (c *machineConn) closeAt(moment time.Duration) {
 	c.open = false
 	c.machine.conns = slices.DeleteFunc(c.machine.conns, func(other *machineConn) bool { return other == c })
@@ -63,7 +63,8 @@
 // finish records that the offer is no longer in flight.
 func (o *offer) finish() { o.finishAt(o.machine.w.now()) }
 
-// finishAt records that the offer has not been in flight since a time. A partitioned machine learns of that time late.
+// finishAt records the time at which the offer stopped being in flight. A partitioned machine records it late, so an
+// earlier time replaces a later one.
 func (o *offer) finishAt(moment time.Duration) {
 	if o.finishedAt == 0 || moment < o.finishedAt {
 		o.finishedAt = moment
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -12,19 +12,19 @@
 	class              workloadClass
 	spread             spreadLimit // of the class
 	client             *client
-	line               string
+	line               string // that the client sends
 	sentAt, due        time.Duration
-	readIteration      int // of the process when it read the last byte of the request; 0: not read
-	connAcceptedLate   bool
+	readIteration      int  // in which the process read the last byte of the request; 0: not read
+	connAcceptedLate   bool // wireSlack after the request was sent, its connection was not accepted yet
 	excused            bool // no answer is expected any more
-	onlyClaimed        bool // a client claimed that it runs, but it was never submitted
-	falselyClaimed     bool // a client claimed that it runs while it was open
+	onlyClaimed        bool // a client claimed that its container runs, but the request was never submitted
+	falselyClaimed     bool // a client claimed that its container runs while the request was open
 	memory             int  // requested memory
 	answer             answer
-	answerIteration    int // of the process when it wrote the first byte of the answer
+	answerIteration    int // in which the process wrote the first byte of the answer
 	answerMayBeDelayed bool
 	cancelled          bool
-	cancelIteration    int // of the process when it read the cancellation
+	cancelIteration    int // in which the process read the cancellation
 	offers             []*offer
 	placement          *placement // of the accept that the client received
 	placements         []*placement
@@ -45,15 +45,15 @@
 	request         *request
 	machine         *machine
 	conn            *machineConn
-	writtenAt       time.Duration // first byte
-	iteration       int
-	remainingMillis int // time that the process waits for the answer, as stated in the offer
+	writtenAt       time.Duration // when the process wrote the first byte
+	iteration       int           // in which the process wrote the first byte
+	remainingMillis int           // time that the process waits for the answer, as stated in the offer
 	mayBeDelayed    bool
 	finishedAt      time.Duration // 0: in flight
 	rejected        bool          // the machine rejected it; the container never ran
 	rejectionRead   bool          // the process has read the rejection
 	incarnation     int           // of the process
-	releasedAt      time.Duration // from then on the process may not count it any more; 0: it counts
+	releasedAt      time.Duration // when the process may stop counting it; 0: it must count it
 	placement       *placement    // nil until the machine accepts
 	acceptRead      bool          // the process has read the accept
 }
@@ -68,22 +68,22 @@
 
 // placement is the record of a container that a machine has accepted.
 type placement struct {
-	request         *request
-	offer           *offer
-	machine         *machine
-	conn            *machineConn
-	description     string
-	endedAt         time.Duration   // 0: running
-	acceptDelivered bool            // the client received the accept
-	cancelled       bool            // its client has ended it: no end report is expected
-	endRead         bool            // an incarnation of the process has read its end
-	endReads        []time.Duration // when the process read its end
-	endReadBy       int             // last incarnation of the process that has read its end
-	endReported     bool
-	knownBy         int // last incarnation of the process that knew that it runs
-	claimReadBy     int // last incarnation of the process that has read a claim of it
-	claimReadAt     time.Duration
-	endNotOwed      bool // no end report is expected, because the process may not know of the end
+	request          *request
+	offer            *offer
+	machine          *machine
+	conn             *machineConn
+	description      string
+	endedAt          time.Duration   // 0: running
+	acceptDelivered  bool            // the client received the accept
+	cancelled        bool            // a client has cancelled it, so no end report is expected
+	endRead          bool            // an incarnation of the process has read its end
+	endReads         []time.Duration // when the process read its end
+	endReadBy        int             // last incarnation of the process that has read its end
+	endReported      bool
+	knownBy          int // last incarnation of the process that knew that the container runs
+	claimReadBy      int // last incarnation of the process that has read a claim that the container runs
+	claimReadAt      time.Duration
+	endReportExcused bool // no end report is expected, because the process may not know of the end
 }
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
--- a/internal/testbed/platformcheck/releasejudge.go
+++ b/internal/testbed/platformcheck/releasejudge.go
@@ -7,7 +7,7 @@
 
 const (
 	endReportLimit     = 8500 * time.Millisecond // from the end of a container to its report to a client
-	readEndReportLimit = time.Second             // from the time at which the process reads the end
+	readEndReportLimit = time.Second             // from the read of the end by the process to its report
 )
 
 // checkEndReports checks at the end of a run that the end of each container was reported.
@@ -20,7 +20,7 @@
 }
 
 func (w *World) checkEndReport(p *placement) {
-	if !p.acceptDelivered || p.runs() || p.endReported || p.cancelled || p.endNotOwed ||
+	if !p.acceptDelivered || p.runs() || p.endReported || p.cancelled || p.endReportExcused ||
 		w.now() < p.endedAt+endReportLimit {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // claimMayBeDropped reports whether the process may have dropped the claim of the container in favor of false claims.
-// It then learns of the end only if the machine reports it.
+// If it has dropped the claim, it learns of the end only if the machine reports it.
 func (p *placement) claimMayBeDropped() bool {
 	return p.offer.claimMayBeDropped(p.machine.w.incarnations)
 }
@@ -66,11 +66,11 @@
 	if !accepted && p.claimReadBy != w.incarnations {
 		return
 	}
-	began, incarnation := w.now(), w.incarnations
+	endReadAt, incarnation := w.now(), w.incarnations
 	w.network.After(readEndReportLimit+wireSlack, func() {
-		w.network.After(w.stalledWithin(began, w.now()), func() {
+		w.network.After(w.stalledWithin(endReadAt, w.now()), func() {
 			if w.incarnations == incarnation {
-				w.checkReportedSoon(p, began)
+				w.checkReportedSoon(p, endReadAt)
 			}
 		})
 	})
@@ -79,23 +79,23 @@
 // checkReportedSoon checks that the end was reported to a client, if a client was served all the time and no client
 // left its input unread. The process may report the end first to a client that made a false claim, but not before it
 // reports it to the client that submitted the container.
-func (w *World) checkReportedSoon(p *placement, began time.Duration) {
-	if !p.acceptDelivered || p.endReported || p.cancelled || p.endNotOwed ||
-		w.termAt != 0 || w.killed || w.unreadUntil >= began {
+func (w *World) checkReportedSoon(p *placement, endReadAt time.Duration) {
+	if !p.acceptDelivered || p.endReported || p.cancelled || p.endReportExcused ||
+		w.termAt != 0 || w.processKilled || w.unreadUntil >= endReadAt {
 		return
 	}
 	submitter := p.request.client
 	couldBeNotified := func(c *client) bool {
 		mayBeFirst := w.falseClaimReadBy != w.incarnations || c == submitter && p.offer.incarnation == w.incarnations
-		return mayBeFirst && c.couldBeNotifiedSince(began)
+		return mayBeFirst && c.couldBeNotifiedSince(endReadAt)
 	}
 	if slices.ContainsFunc(w.clients, couldBeNotified) {
 		w.checker.report(ruleEndReport, "the end of container %s on %s was read %v ago, and reported to no client",
-			p.request.id, p.machine.id, w.now()-began)
+			p.request.id, p.machine.id, w.now()-endReadAt)
 	}
 }
 
 // couldBeNotifiedSince reports whether the process has served the client without interruption since a time.
-func (c *client) couldBeNotifiedSince(began time.Duration) bool {
-	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= began && !c.conn.IsEnded() && !c.conn.Congested()
+func (c *client) couldBeNotifiedSince(endReadAt time.Duration) bool {
+	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= endReadAt && !c.conn.IsEnded() && !c.conn.Congested()
 }
--- a/internal/testbed/platformcheck/responses.go
+++ b/internal/testbed/platformcheck/responses.go
@@ -112,7 +112,7 @@
 	return p
 }
 
-// acceptAnd accepts an offer and does what else the response calls for.
+// acceptAnd accepts an offer and takes the further steps of the response, such as ending the container.
 func (c *machineConn) acceptAnd(o *offer, r response) {
 	p := c.accept(o)
 	m := c.machine
--- a/internal/testbed/platformcheck/settings.go
+++ b/internal/testbed/platformcheck/settings.go
@@ -16,8 +16,8 @@
 	keyedWindow       = 8 * time.Second
 	wireSlack         = 50 * time.Millisecond // added to every limit for the delay of sockets
 	answerSlack       = 500 * time.Millisecond
-	longestDrain      = 3 * time.Second
-	killGrace         = 700 * time.Millisecond
+	longestDrain      = 3 * time.Second        // after TERM
+	killGrace         = 700 * time.Millisecond // after the drain, until the process must have ended
 )
 
 // effect says whether a request may be repeated.
--- a/internal/testbed/platformcheck/slowstartjudge.go
+++ b/internal/testbed/platformcheck/slowstartjudge.go
@@ -12,13 +12,13 @@
 }
 
 // schedulerShare returns the largest share of a machine's budget that one scheduler can have. The shares are equal,
-// except that some schedulers also get one of the remainder.
+// except that the remainder of the division goes to some schedulers, one send each.
 func (s slowStart) schedulerShare() int { return (s.budget + s.schedulers - 1) / s.schedulers }
 
 // slowStartCheckDelay is the delay after which a send is checked. By then the machine has received all earlier sends.
 const slowStartCheckDelay = 20 * time.Millisecond
 
-// recordStart records a start of the machine, which the process has not read yet.
+// recordStart records that the machine has started, and that the process has not read of this start yet.
 func (m *machine) recordStart() {
 	m.startMillis, m.startedAt, m.startReadAt = m.w.kernel.Now().UnixMilli(), m.w.now(), 0
 }
@@ -47,19 +47,19 @@
 	m.w.network.After(slowStartCheckDelay, func() { m.w.checker.checkSlowStart(m, at) })
 }
 
-// checkSlowStart checks the number of sends to a machine in slow start in the window that ends with a send. The window
-// is shortened by the time in which the process was stalled, because sends before a stall may have been decided
-// earlier.
+// checkSlowStart checks a send to a machine in slow start. In the window that ends with the send, the machine may get
+// at most one scheduler's share of the budget. The window is shortened by the time in which the process was stalled,
+// because sends before a stall may have been decided earlier.
 func (c *checker) checkSlowStart(m *machine, at time.Duration) {
 	if !m.inSlowStart(at) {
 		return
 	}
 	settings := m.w.params.slowStart
-	began := at - settings.window
-	began += m.w.stalledWithin(began, at)
+	windowStart := at - settings.window
+	windowStart += m.w.stalledWithin(windowStart, at)
 	count := 0
 	for _, sent := range m.sends {
-		if sent > began && sent <= at && sent > m.startReadAt {
+		if sent > windowStart && sent <= at && sent > m.startReadAt {
 			count++
 		}
 	}
--- a/internal/testbed/platformcheck/spreadjudge.go
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -71,7 +71,8 @@
 	o.release(line.first.WrittenAt)
 }
 
-// extendUncertainty records that the process may consider offers lost that it sends to the machine up to a time.
+// extendUncertainty records that the process may consider an offer lost if it sends the offer to the machine before a
+// time.
 func (m *machine) extendUncertainty(moment time.Duration) {
 	m.uncertainUntil = max(m.uncertainUntil, moment+uncertaintySlack)
 }
@@ -118,8 +119,8 @@
 	return o.incarnation != incarnation && o.machine.falseClaimReadBy == incarnation
 }
 
-// isReleasedBy reports whether the process may have stopped counting the offer by a time. It may take the end of an
-// earlier container of the request on the same machine, if it reads that end late, for the answer to this offer.
+// isReleasedBy reports whether the process may have stopped counting the offer by a time. The process may also read the
+// end of an earlier container of the request on the same machine late, and take that end for the answer to this offer.
 func (o *offer) isReleasedBy(moment time.Duration) bool {
 	if o.releasedAt != 0 && o.releasedAt <= moment {
 		return true
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -18,8 +18,8 @@
 	persistentClients      = 2
 	settleTime             = 10 * time.Second // after the last event, for pending answers and reports
 	restartDelay           = 100 * time.Millisecond
-	quietAfterTerm         = 600 * time.Millisecond // after TERM, when clients stop sending
-	maxTransit             = 10 * time.Millisecond  // of data that a client sends
+	quietAfterTerm         = 600 * time.Millisecond // from TERM until clients stop sending
+	maxTransit             = 10 * time.Millisecond  // longest transit of data that a client sends
 	maxIterationsPerSecond = 12_000                 // of the event loop
 )
 
@@ -48,9 +48,9 @@
 	params        worldParams
 
 	incarnations     int
-	termAt           time.Duration // when the process got TERM; 0: it did not
-	killed           bool
-	finished         bool          // the process is not restarted any more
+	termAt           time.Duration // when the process got TERM; 0: it has not got TERM
+	processKilled    bool          // the current incarnation was killed
+	runEnded         bool          // the process is not restarted any more
 	iterations       int           // of the event loop in the current second
 	stallTotal       time.Duration // total time for which the process was stalled
 	stallEnd         time.Duration // end of the last stall
@@ -73,7 +73,7 @@
 		w.machines = append(w.machines, w.newMachine(fmt.Sprintf("m%02d", i), i))
 	}
 	w.schedule()
-	for !w.finished && len(w.checker.Violations) == 0 {
+	for !w.runEnded && len(w.checker.Violations) == 0 {
 		w.runProcess()
 		w.network.RunFor(restartDelay)
 	}
@@ -98,7 +98,7 @@
 	}
 	w.network.After(last+time.Millisecond, w.endAllFaults)
 	w.network.After(last+settleTime, func() {
-		w.finished = true
+		w.runEnded = true
 		w.terminate()
 	})
 	w.checkIterationRate()
@@ -126,7 +126,7 @@
 // runProcess runs one incarnation of the process until it ends.
 func (w *World) runProcess() {
 	w.incarnations++
-	w.termAt, w.killed, w.iterations = 0, false, 0
+	w.termAt, w.processKilled, w.iterations = 0, false, 0
 	w.kernel = w.network.NewKernel()
 	w.kernel.Limit = w.params.descriptors
 	w.kernel.OnWait = w.onWait
@@ -135,7 +135,7 @@
 	var err error
 	if w.config, err = platform.DecodeConfig([]byte(text)); err != nil {
 		w.checker.report(ruleProcess, "the process cannot read its configuration: %v", err)
-		w.finished = true
+		w.runEnded = true
 		return
 	}
 	err = w.serve()
@@ -171,14 +171,14 @@
 // checkProcessEnd checks how an incarnation of the process ended.
 func (w *World) checkProcessEnd(err error) {
 	w.tracef("the process ended: %v", err)
-	if w.killed {
+	if w.processKilled {
 		w.excuseRequests()
 	}
 	w.excusePlacements()
 	switch {
 	case errors.Is(err, simnet.ErrStopped):
 		return
-	case w.killed:
+	case w.processKilled:
 	case err != nil:
 		w.checker.report(ruleProcess, "the process ended with an error: %v", err)
 	case w.termAt == 0:
@@ -220,11 +220,11 @@
 
 // kill kills the process.
 func (w *World) kill() {
-	w.killed = true
+	w.processKilled = true
 	w.kernel.Kill()
 }
 
-// transitLimit returns how long ago a request may have been sent without having been read when its connection ends.
+// transitLimit returns the longest time for which a request may have been left unread when its connection ends.
 // A terminating process has read everything that has arrived. A process that closes a connection may have left data
 // unread.
 func (w *World) transitLimit() time.Duration {
@@ -236,7 +236,7 @@
 
 // clientsQuiet reports whether clients have stopped sending.
 func (w *World) clientsQuiet() bool {
-	return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.killed
+	return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.processKilled
 }
 
 // newRequestID returns a new identifier.
