--- a/internal/testbed/trials/bgp/bgp.go
+++ b/internal/testbed/trials/bgp/bgp.go
@@ -13,7 +13,7 @@
 // Trial starts a cluster whose scheduler announces service addresses to two emulated peers, and checks the updates that
 // the peers receive.
 type Trial struct {
-	Rounds int // of ends
+	Rounds int // in which the last containers of services end
 
 	*trials.Runner
 	cluster *cluster.Cluster
--- a/internal/testbed/trials/bgp/ends.go
+++ b/internal/testbed/trials/bgp/ends.go
@@ -45,15 +45,15 @@
 func (t *Trial) runEnds() (string, error) {
 	measured := &withdrawals{delays: hdrhistogram.New(1, 60_000, 3)}
 	for round := range t.Rounds {
-		first := round * endsPerRound % firstReservedService
-		ids, err := t.placeRound(first)
+		firstService := round * endsPerRound % firstReservedService
+		ids, err := t.placeRound(firstService)
 		if err != nil {
 			return "", err
 		}
-		if err := t.waitRoundWithdrawn(first, ids); err != nil {
+		if err := t.waitRoundWithdrawn(firstService, ids); err != nil {
 			return "", err
 		}
-		t.measureRound(measured, first, ids)
+		t.measureRound(measured, firstService, ids)
 	}
 	expected := t.Rounds * endsPerRound * len(t.peers)
 	if measured.count < expected {
@@ -71,29 +71,29 @@
 }
 
 // placeRound places one container of each service of a round and returns their IDs.
-func (t *Trial) placeRound(first int) ([]string, error) {
+func (t *Trial) placeRound(firstService int) ([]string, error) {
 	ids := make([]string, endsPerRound)
 	errs := make([]error, endsPerRound)
 	var placing sync.WaitGroup
 	for i := range endsPerRound {
 		placing.Go(func() {
-			ids[i], _, errs[i] = t.client.place(first+i, time.Duration(1200+i*13)*time.Millisecond)
+			ids[i], _, errs[i] = t.client.place(firstService+i, time.Duration(1200+i*13)*time.Millisecond)
 		})
 	}
 	placing.Wait()
 	return ids, errors.Join(errs...)
 }
 
-func (t *Trial) waitRoundWithdrawn(first int, ids []string) error {
+func (t *Trial) waitRoundWithdrawn(firstService int, ids []string) error {
 	for i, id := range ids {
 		if err := t.waitUntil("the container ends", func() bool { return !t.ends.endOf(id).IsZero() }); err != nil {
 			return err
 		}
 		for k, p := range t.peers {
 			if err := t.waitWithdrawn(
-				fmt.Sprintf("peer %d receives the withdrawal of %s", k, prefix(first+i)),
+				fmt.Sprintf("peer %d receives the withdrawal of %s", k, prefix(firstService+i)),
 				p,
-				first+i,
+				firstService+i,
 			); err != nil {
 				return err
 			}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (t *Trial) measureRound(measured *withdrawals, first int, ids []string) {
+func (t *Trial) measureRound(measured *withdrawals, firstService int, ids []string) {
 	for k, p := range t.peers {
 		for _, update := range p.Changes() {
 			measured.updates++
@@ -110,7 +110,7 @@
 				continue
 			}
 			service := int(update.Prefix.Addr().As4()[3])
-			late := update.At.Sub(t.ends.endOf(ids[service-first]))
+			late := update.At.Sub(t.ends.endOf(ids[service-firstService]))
 			measured.count++
 			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // a value beyond its range fails the check
 			if late > withdrawalLimit {
--- a/internal/testbed/trials/bgp/machinefailure.go
+++ b/internal/testbed/trials/bgp/machinefailure.go
@@ -42,8 +42,8 @@
 	return errors.Join(errs...)
 }
 
-// resetAndFail does one such reset and failure. It returns the crashed machine and the longest delay until a peer had
-// received the withdrawal of the route.
+// resetAndFail resets the session of one peer and crashes the machine of a service's last container. It returns the
+// crashed machine and the longest delay until a peer had received the withdrawal of the route.
 func (t *Trial) resetAndFail() (crashed *emulator.Machine, worst time.Duration, err error) {
 	id, machine, err := t.client.place(resetService, time.Hour)
 	if err != nil {
--- a/internal/testbed/trials/bgp/peers.go
+++ b/internal/testbed/trials/bgp/peers.go
@@ -20,7 +20,8 @@
 
 const (
 	serviceCount = 250
-	// Steps after the first use services from here on, because the routes of the others are damped by their many ends.
+	// firstReservedService is the first of the services that the steps after the first use. The routes of the services
+	// below it are damped, because their containers ended often.
 	firstReservedService = 200
 )
 
--- a/internal/testbed/trials/bgp/schedulerkill.go
+++ b/internal/testbed/trials/bgp/schedulerkill.go
@@ -8,8 +8,8 @@
 )
 
 // runSchedulerKill kills the scheduler while containers of two services run. One container ends while the scheduler is
-// down. After the restart, the route of the running container must never have been withdrawn, and that of the ended
-// container must be.
+// down. After the restart, the route of the running container must never have been withdrawn, and the route of the
+// ended container must be withdrawn.
 func (t *Trial) runSchedulerKill() (string, error) {
 	if _, _, err := t.client.place(survivingService, time.Hour); err != nil {
 		return "", err
@@ -41,7 +41,7 @@
 		t.checkRoutesAfterRestart(k, p)
 	}
 	return fmt.Sprintf(
-		"routes are correct %d ms after the start, that of the running container was never withdrawn",
+		"routes are correct %d ms after the start, the route of the running container was never withdrawn",
 		time.Since(began).Milliseconds(),
 	), nil
 }
--- a/internal/testbed/trials/overload/calm.go
+++ b/internal/testbed/trials/overload/calm.go
@@ -33,9 +33,9 @@
 // runBaseline simulates load without a fault, with and without the concurrency limit. The limit must cost almost none
 // of the starts within the latency objective, and should shed almost nothing.
 func (t *Trial) runBaseline() (string, error) {
-	const tolerated = 0.01 // share of the starts within the latency objective
+	const maxCost = 0.01 // as a share of the starts within the latency objective
 	without, with := simulateBaseline(simulation.NoDamping), simulateBaseline(simulation.Limited)
-	if cost := 1 - with.share()/without.share(); cost >= tolerated {
+	if cost := 1 - with.share()/without.share(); cost >= maxCost {
 		t.Failf("the limit costs %.1f%% of the starts within the latency objective", 100*cost)
 	}
 	return fmt.Sprintf("%d submitted, %d shed; starts in time %.2f%% without the limit, %.2f%% with it",
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -33,11 +33,11 @@
 
 // simulatedRuns collects the results of the runs with one share of clients that ignore retry-after.
 type simulatedRuns struct {
-	mu         sync.Mutex
-	recoveries map[simulation.Damping][]simulation.Recovery
-	actions    int
-	scheduled  int // retries at the time that the limiter set
-	admitted   int // scheduled retries that the limiter admitted
+	mu               sync.Mutex
+	recoveries       map[simulation.Damping][]simulation.Recovery
+	actions          int
+	scheduledRetries int // retries at the time that the limiter set
+	admittedRetries  int // scheduled retries that the limiter admitted
 }
 
 func (r *simulatedRuns) add(s *simulation.Simulation) {
@@ -46,8 +46,8 @@
 	recovery := simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt)
 	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], recovery)
 	r.actions += s.Actions
-	r.scheduled += s.ScheduledRetries
-	r.admitted += s.AdmittedRetries
+	r.scheduledRetries += s.ScheduledRetries
+	r.admittedRetries += s.AdmittedRetries
 }
 
 func (r *simulatedRuns) meanLost(d simulation.Damping) float64 { return meanLost(r.recoveries[d]) }
@@ -73,7 +73,7 @@
 		t.Printf(
 			"simulated: %d actions in %.1f s; %d retries at the scheduled time, %.0f%% of them admitted\n",
 			runs.actions, time.Since(began).Seconds(),
-			runs.scheduled, 100*float64(runs.admitted)/float64(max(1, runs.scheduled)),
+			runs.scheduledRetries, 100*float64(runs.admittedRetries)/float64(max(1, runs.scheduledRetries)),
 		)
 		limited := runs.meanLost(simulation.Limited)
 		if least := min(runs.meanLost(simulation.NoDamping), runs.meanLost(simulation.Exponential)); limited >= least {
--- a/internal/testbed/trials/restart/jobclient.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -110,7 +110,7 @@
 	Version  int64
 }
 
-// compareJobs reports where the jobs that the API lists differ from those that it acknowledged.
+// compareJobs reports where the jobs that the API lists differ from the jobs that it has acknowledged.
 func (c *jobClient) compareJobs(listed []listedJob, report func(format string, args ...any)) {
 	seen := map[string]bool{}
 	for _, job := range listed {
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -53,15 +53,15 @@
 	r.client = &jobClient{Controller: r.controller, jobs: map[string]acknowledgedJob{}}
 	began := time.Now()
 	c.Clients.Start(s.Rate/2, s.Seed)
-	over := make(chan struct{})
+	stopWatching := make(chan struct{})
 	var watching sync.WaitGroup
-	watching.Go(func() { r.watchDuplicates(over) })
+	watching.Go(func() { r.watchDuplicates(stopWatching) })
 	r.killUnderLoad()
 	length := time.Since(began)
 	c.Clients.SetRate(0)
 	wanted, running := r.waitSettled()
 	c.WaitForReplies(s.Settle)
-	close(over)
+	close(stopWatching)
 	watching.Wait()
 	tally := c.Clients.Close()
 	r.controller.Terminate()
--- a/internal/testbed/trials/restart/restart.go
+++ b/internal/testbed/trials/restart/restart.go
@@ -14,7 +14,7 @@
 // Trial kills schedulers and the controller while they write. It checks that nothing acknowledged is lost: in the state
 // folder after each kill, in the API and on the machines at the end, and in the recording.
 type Trial struct {
-	Kills    int   // of schedulers; the controller is killed about a tenth as often
+	Kills    int   // kills of schedulers; the controller is killed about a tenth as often
 	LogSizes []int // numbers of containers in the logs with which starts are timed
 	Losses   Losses
 	Sabotage string // crashcheck.SabotageSync, crashcheck.SabotageChecksum or none
--- a/internal/testbed/trials/why/drains.go
+++ b/internal/testbed/trials/why/drains.go
@@ -56,7 +56,7 @@
 func inFirstZone(m *emulator.Machine) bool { return m.ZoneIndex == 0 }
 
 // runDrainsAndRoom repeatedly changes the reason for which one container is pending: no machine has room, then all
-// machines that could run it drain, then no machine has room again, then one has.
+// machines that could run it drain, then no machine has room again, then one machine has room.
 func (t *Trial) runDrainsAndRoom() error {
 	large := 0
 	for _, m := range t.cluster.Machines {
@@ -71,19 +71,19 @@
 		return err
 	}
 	for range t.Cycles {
-		if err := t.fullThenDraining(); err != nil {
+		if err := t.drainWhileFull(); err != nil {
 			return err
 		}
-		if err := t.roomAgain(large); err != nil {
+		if err := t.makeRoom(large); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fullThenDraining submits one container more than fits, drains all machines that may run it and ends the drain.
+// drainWhileFull submits one container more than fits, drains all machines that may run it and ends the drain.
 // Before and after the drain the container must be reported as pending for lack of room.
-func (t *Trial) fullThenDraining() error {
+func (t *Trial) drainWhileFull() error {
 	if n := t.countFittingMachines(fillerCores, fillerMemory); n != 0 {
 		return fmt.Errorf("the large machines are not full: %d have room", n)
 	}
@@ -105,8 +105,8 @@
 	return t.expect("in service again, full", pendingContainer, since, codes{reasonNoRoom}, codes{reasonNoMachine})
 }
 
-// roomAgain scales the filler job down by one, so that the pending container fits. Afterwards it restores the filler.
-func (t *Trial) roomAgain(large int) error {
+// makeRoom scales the filler job down by one, so that the pending container fits. Afterwards it restores the filler.
+func (t *Trial) makeRoom(large int) error {
 	if err := t.ReplaceJob(fillerJob, process.WorkloadLargeOnly, large-1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
--- a/internal/testbed/trials/why/fencing.go
+++ b/internal/testbed/trials/why/fencing.go
@@ -10,14 +10,15 @@
 // runFencing loses the reply to an at-most-once attempt. The container must stay pending for the fencing delay and be
 // placed after it.
 func (t *Trial) runFencing() error {
-	const job, first = "guarded", "guarded.0"
+	const job, container = "guarded", "guarded.0"
 	t.cluster.FreezeAll()
 	since := time.Now()
 	if err := t.CreateJob(job, process.WorkloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
-	err := t.expect("attempt failed, container may run", first, since.Add(placementTimeout), codes{reasonFencing}, nil)
-	_, answer, readErr := t.readCodes(first)
+	err := t.expect("attempt failed, container may run", container,
+		since.Add(placementTimeout), codes{reasonFencing}, nil)
+	_, answer, readErr := t.readCodes(container)
 	t.cluster.UnfreezeAll()
 	if err := errors.Join(err, readErr); err != nil {
 		return err
@@ -29,7 +30,7 @@
 		return nil
 	}
 	time.Sleep(time.Until(ends))
-	if err := t.expect("the fencing delay is over", first, ends, nil, codes{reasonFencing}); err != nil {
+	if err := t.expect("the fencing delay is over", container, ends, nil, codes{reasonFencing}); err != nil {
 		return err
 	}
 	if err := t.WaitRunning(job, 2); err != nil {
--- a/internal/testbed/trials/why/spread.go
+++ b/internal/testbed/trials/why/spread.go
@@ -32,8 +32,8 @@
 	if err := t.waitRunningCount("the spread is nearly full", job, nearlyFull); err != nil {
 		return err
 	}
-	// The limit may be reached at one scheduler and not at the other. The true reason is that of the scheduler that was
-	// asked.
+	// The limit may be reached at one scheduler and not at the other. The true reason comes from the scheduler that
+	// was asked.
 	if err := t.waitRunningCount("the spread is full", job, func(n int) bool { return n == capacity }); err != nil {
 		return err
 	}
