--- a/internal/testbed/platformcheck/campaign.go
+++ b/internal/testbed/platformcheck/campaign.go
@@ -25,8 +25,8 @@
 // Result is the result of a campaign.
 type Result struct {
 	Seeds, Events int     // played
-	First         Failure // run with the lowest failing seed; has no violations if no run failed
-	Failed        int     // runs with violations
+	FirstFailure  Failure // run with the lowest failing seed; has no violations if no run failed
+	FailedRuns    int     // runs with violations
 }
 
 // Runs returns the number of runs.
@@ -46,7 +46,7 @@
 	stopped := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return result.Failed > 0
+		return result.FailedRuns > 0
 	}
 	for range max(1, c.Workers) {
 		workers.Go(func() {
@@ -70,8 +70,8 @@
 	if len(violations) == 0 {
 		return
 	}
-	r.Failed++
-	if len(r.First.Violations) == 0 || run.Seed < r.First.Run.Seed {
-		r.First = Failure{run, violations}
+	r.FailedRuns++
+	if len(r.FirstFailure.Violations) == 0 || run.Seed < r.FirstFailure.Run.Seed {
+		r.FirstFailure = Failure{run, violations}
 	}
 }
--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -28,7 +28,7 @@
 }
 
 func (w *World) takeDiscoveryDown(_ Event, span time.Duration) {
-	w.discovery.endpoints[w.discovery.active].Refuse = true
+	w.discovery.endpoints[w.discovery.activeIndex].Refuse = true
 	w.discovery.disconnect()
 	w.network.After(span, w.discovery.restore)
 }
@@ -36,7 +36,7 @@
 // restore ends a fault of the discovery service and sends the events that were held back.
 func (d *discovery) restore() {
 	d.silent = false
-	d.endpoints[d.active].Refuse = false
+	d.endpoints[d.activeIndex].Refuse = false
 	for _, watch := range d.watches {
 		watch.sendUpTo(len(d.events))
 	}
@@ -63,7 +63,7 @@
 // process can detect a gap only after it.
 func (d *discovery) skipNextEvent() {
 	for _, watch := range d.watches {
-		if watch.following && watch.sentAny {
+		if watch.offsetReceived && watch.sentAny {
 			watch.sentUpTo++
 			watch.gap = true
 		}
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -29,7 +29,7 @@
 	unreadUntil   time.Duration // latest time until which it leaves its input unread
 	onEstablished []func()      // called once the connection is established
 	lines         lineReader
-	requests      []*request // all that it submitted
+	requests      []*request // all requests that it submitted
 }
 
 // connect connects a new client.
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -19,12 +19,12 @@
 
 // discovery is the discovery service, which is active at one of its addresses.
 type discovery struct {
-	w         *World
-	endpoints [len(discoveryAddrs)]*simnet.Endpoint
-	active    int // index of the active address
-	events    []listEvent
-	watches   []*watch
-	silent    bool
+	w           *World
+	endpoints   [len(discoveryAddrs)]*simnet.Endpoint
+	activeIndex int // index of the active address
+	events      []listEvent
+	watches     []*watch
+	silent      bool
 }
 
 // listEvent is an event of the machine list, with the changes that it reports.
@@ -43,13 +43,13 @@
 	d := &discovery{w: w}
 	for i := range d.endpoints {
 		d.endpoints[i] = &simnet.Endpoint{Accept: func() simnet.PeerHandler { return &watch{discovery: d, address: i} }}
-		d.endpoints[i].Refuse = i != d.active
+		d.endpoints[i].Refuse = i != d.activeIndex
 		w.network.Listen(discoveryAddrs[i], d.endpoints[i])
 	}
 	return d
 }
 
-func (d *discovery) address() netip.AddrPort { return discoveryAddrs[d.active] }
+func (d *discovery) address() netip.AddrPort { return discoveryAddrs[d.activeIndex] }
 
 // publish publishes an event that lists machines. If whole is set, it is the whole machine list.
 func (d *discovery) publish(whole bool, machines ...*machine) {
@@ -109,7 +109,7 @@
 // which the process gets with its configuration.
 func (d *discovery) restart() (known []string) {
 	d.events, d.silent = nil, false
-	d.endpoints[d.active].Refuse = false
+	d.endpoints[d.activeIndex].Refuse = false
 	d.publish(true, d.w.listedMachines()...)
 	event := d.events[0]
 	d.recordRead(event)
@@ -126,9 +126,9 @@
 // move activates the other address. The old address closes its connections later.
 func (d *discovery) move() {
 	old := d.watches
-	d.endpoints[d.active].Refuse = true
-	d.active = 1 - d.active
-	d.endpoints[d.active].Refuse = false
+	d.endpoints[d.activeIndex].Refuse = true
+	d.activeIndex = 1 - d.activeIndex
+	d.endpoints[d.activeIndex].Refuse = false
 	d.watches = nil
 	d.w.network.After(oldAddressLinger, func() {
 		for _, watch := range old {
@@ -139,14 +139,14 @@
 
 // watch is a connection of the process to the discovery service.
 type watch struct {
-	discovery *discovery
-	address   int
-	conn      *simnet.PeerConn
-	lines     lineReader
-	following bool // the process has sent the offset from which it follows
-	sentUpTo  int  // offset of the last event that was written
-	sentAny   bool // an event was written
-	gap       bool // an event was skipped: the process cannot apply later events
+	discovery      *discovery
+	address        int
+	conn           *simnet.PeerConn
+	lines          lineReader
+	offsetReceived bool // the process has sent the offset from which it follows
+	sentUpTo       int  // offset of the last event that was written
+	sentAny        bool // an event was written
+	gap            bool // an event was skipped: the process cannot apply later events
 }
 
 // Connected implements simnet.PeerHandler.
@@ -164,7 +164,7 @@
 			x.discovery.w.checker.report(ruleProcess, "the discovery service got an invalid request: %q", line.text)
 			return
 		}
-		x.following, x.sentUpTo = true, from
+		x.offsetReceived, x.sentUpTo = true, from
 		if !x.discovery.silent {
 			x.sendUpTo(len(x.discovery.events))
 			x.sendOffset()
@@ -190,7 +190,7 @@
 
 // sendUpTo writes the events up to an offset that were not written yet.
 func (x *watch) sendUpTo(offset int) {
-	for x.following && x.address == x.discovery.active && x.sentUpTo < offset {
+	for x.offsetReceived && x.address == x.discovery.activeIndex && x.sentUpTo < offset {
 		x.sentUpTo++
 		x.sendEvent(x.sentUpTo)
 	}
--- a/internal/testbed/platformcheck/form.go
+++ b/internal/testbed/platformcheck/form.go
@@ -24,9 +24,9 @@
 	{{scopeMachine, 2}, {scopeRackGroup, 1}, {scopeZone, 1}},
 }
 
-// slowStartChoices are the choices for the settings of slow start. Where the window is short, the
-// connect timeout is a sixteenth of the window, so that an eighth of the window covers the transit of an offer. The
-// last choice has the values that sites use.
+// slowStartChoices are the choices for the settings of slow start. Where the window is short, the connect timeout is a
+// sixteenth of the window, so that an eighth of the window covers the transit of an offer. The last choice has the
+// values that sites use.
 var slowStartChoices = [...]slowStart{
 	{schedulers: 1, budget: 30, window: 3000 * ms, period: 2000 * ms, connectTimeout: 250 * ms},
 	{schedulers: 1, budget: 1, window: 400 * ms, period: 3000 * ms, connectTimeout: 25 * ms},
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -65,9 +65,9 @@
 		c.report(ruleAnswer, "request %s has a second answer", r.id)
 		return
 	}
-	r.answer, r.answerIteration, r.answerMayBeDelayed = a, line.first.Iteration, line.mayBeDelayed()
-	if line.last.WrittenAt > r.due+answerSlack && !r.connAcceptedLate && !line.mayBeDelayed() {
-		c.report(ruleAnswer, "request %s is answered %v after its deadline", r.id, line.last.WrittenAt-r.due)
+	r.answer, r.answerIteration, r.answerMayBeDelayed = a, line.firstChunk.Iteration, line.mayBeDelayed()
+	if line.lastChunk.WrittenAt > r.due+answerSlack && !r.connAcceptedLate && !line.mayBeDelayed() {
+		c.report(ruleAnswer, "request %s is answered %v after its deadline", r.id, line.lastChunk.WrittenAt-r.due)
 	}
 	if r.cancelled && r.cancelIteration > 0 && r.answerIteration > r.cancelIteration && !line.mayBeDelayed() {
 		c.report(ruleAnswer, "request %s is answered after its cancellation", r.id)
--- a/internal/testbed/platformcheck/lines.go
+++ b/internal/testbed/platformcheck/lines.go
@@ -13,25 +13,25 @@
 
 // lineReader assembles lines from the data that the process writes on one connection.
 type lineReader struct {
-	partial []byte
-	first   simnet.Chunk // holds the first byte of the line
+	partial    []byte
+	firstChunk simnet.Chunk // holds the first byte of the line
 }
 
 // receivedLine is a line written by the process.
 type receivedLine struct {
-	text        []byte
-	first, last simnet.Chunk // hold its first and its last byte
+	text                  []byte
+	firstChunk, lastChunk simnet.Chunk // hold its first and its last byte
 }
 
 // mayBeDelayed reports whether the process may have written the line late because the peer read too slowly.
-func (l receivedLine) mayBeDelayed() bool { return l.first.Congested || l.last.Congested }
+func (l receivedLine) mayBeDelayed() bool { return l.firstChunk.Congested || l.lastChunk.Congested }
 
 // feed passes each line that a chunk completes to handle.
 func (r *lineReader) feed(chunk simnet.Chunk, handle func(receivedLine)) {
 	data := chunk.Data
 	for len(data) > 0 {
 		if len(r.partial) == 0 {
-			r.first = chunk
+			r.firstChunk = chunk
 		}
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
@@ -39,7 +39,7 @@
 			r.truncateOverlong(chunk, handle)
 			return
 		}
-		line := receivedLine{text: append(r.partial, data[:end]...), first: r.first, last: chunk}
+		line := receivedLine{text: append(r.partial, data[:end]...), firstChunk: r.firstChunk, lastChunk: chunk}
 		r.partial, data = nil, data[end+1:]
 		handle(line)
 	}
@@ -49,7 +49,7 @@
 // end.
 func (r *lineReader) truncateOverlong(chunk simnet.Chunk, handle func(receivedLine)) {
 	if len(r.partial) > jsonlines.MaxLineBytes {
-		handle(receivedLine{text: r.partial[:overlongPrefixBytes], first: r.first, last: chunk})
+		handle(receivedLine{text: r.partial[:overlongPrefixBytes], firstChunk: r.firstChunk, lastChunk: chunk})
 		r.partial = nil
 	}
 }
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -26,7 +26,7 @@
 	state              string
 	startMillis        int64
 	stateVersion       int           // increases with each change of the state
-	unavailableKnownAt time.Duration // when the process knew that the machine takes no offers; 0: it does not know
+	unavailableKnownAt time.Duration // when the process learned that the machine takes no offers; 0: not yet
 	unreliable         bool          // the process had cause to consider its containers lost
 
 	firstReadAt      time.Duration // when the process first read of it; 0: not yet
@@ -36,7 +36,7 @@
 	falseClaimReadBy int             // last incarnation of the process that has read a false claim for the machine
 	uncertainUntil   time.Duration   // the process may consider offers lost that it sent before this time
 	partitioned      bool            // it is cut off; what it sends and receives is deferred
-	deferred         []func()        // called when the partition ends
+	deferredCalls    []func()        // called when the partition ends
 	conns            []*machineConn
 	responses        []response // to its next offers
 	containers       []*placement
@@ -68,7 +68,7 @@
 // whenReachable calls a function now, or when the partition of the machine ends.
 func (m *machine) whenReachable(do func()) {
 	if m.partitioned {
-		m.deferred = append(m.deferred, do)
+		m.deferredCalls = append(m.deferredCalls, do)
 		return
 	}
 	do()
@@ -87,8 +87,8 @@
 // restore ends a partition, and refused or delayed connections.
 func (m *machine) restore() {
 	m.partitioned, m.endpoint.Silent, m.endpoint.Refuse, m.endpoint.Delay = false, false, m.state == healthGone, 0
-	deferred := m.deferred
-	m.deferred = nil
+	deferred := m.deferredCalls
+	m.deferredCalls = nil
 	for _, do := range deferred {
 		do()
 	}
@@ -114,7 +114,7 @@
 	for _, r := range m.unreadEnds {
 		r.placement.endReportExcused = true
 	}
-	m.containers, m.unreadEnds, m.deferred, m.responses = nil, nil, nil, nil
+	m.containers, m.unreadEnds, m.deferredCalls, m.responses = nil, nil, nil, nil
 	for _, conn := range slices.Clone(m.conns) {
 		conn.reset()
 	}
--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -119,7 +119,7 @@
 	}
 	o := &offer{
 		request: r, machine: m, conn: c, remainingMillis: left, incarnation: m.w.incarnations,
-		writtenAt: line.first.WrittenAt, iteration: line.first.Iteration, mayBeDelayed: line.mayBeDelayed(),
+		writtenAt: line.firstChunk.WrittenAt, iteration: line.firstChunk.Iteration, mayBeDelayed: line.mayBeDelayed(),
 	}
 	m.w.checker.recordOffer(o)
 	if !c.open {
@@ -134,7 +134,7 @@
 func (c *machineConn) handleEnd(msg *jsonlines.Message, line receivedLine) {
 	for _, o := range c.offers {
 		if o.request.id == msg.RequestID {
-			o.finishAt(line.first.WrittenAt)
+			o.finishAt(line.firstChunk.WrittenAt)
 			o.releaseBy(line)
 		}
 	}
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -14,7 +14,8 @@
 // The process keeps the rules in random orders of events. The platform trial plays many more orders.
 func TestRulesHoldInRandomOrders(t *testing.T) {
 	result := Campaign{Events: 3000, Workers: 2}.Play()
-	testutil.Expect(t, result.Failed == 0, "seed %d: %v", result.First.Run.Seed, result.First.Violations)
+	testutil.Expect(t, result.FailedRuns == 0,
+		"seed %d: %v", result.FirstFailure.Run.Seed, result.FirstFailure.Violations)
 	testutil.Equal(t, result.Seeds, 50, "seeds played")
 }
 
@@ -35,8 +36,8 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			result := Campaign{Events: 12_000, Fault: fault, Workers: 2}.Play()
-			testutil.Require(t, result.Failed > 0, "not detected in %d seeds", result.Seeds)
-			rule := result.First.Violations[0].Rule
+			testutil.Require(t, result.FailedRuns > 0, "not detected in %d seeds", result.Seeds)
+			rule := result.FirstFailure.Violations[0].Rule
 			testutil.Expect(t, slices.Contains(rules, rule), "detected by %q", rule)
 		})
 	}
@@ -45,12 +46,12 @@
 // A failing list of events is reduced to one that needs each of its events, and whose replay has the same violations.
 func TestFailureIsReduced(t *testing.T) {
 	result := Campaign{Events: 12_000, Fault: IgnoredDrain, Workers: 2}.Play()
-	testutil.Require(t, result.Failed > 0, "nothing failed")
-	reduced := Reduce(result.First.Run)
+	testutil.Require(t, result.FailedRuns > 0, "nothing failed")
+	reduced := Reduce(result.FirstFailure.Run)
 	count := len(reduced.Run.Events)
 	testutil.Require(t, count > 0 && count <= 4, "%d events are left", count)
 	testutil.DeepEqual(t, Play(reduced.Run), reduced.Violations)
-	rule := result.First.Violations[0].Rule
+	rule := result.FirstFailure.Violations[0].Rule
 	testutil.Equal(t, reduced.Violations[0].Rule, rule, "rule after the reduction")
 	for i := range reduced.Run.Events {
 		run := reduced.Run
@@ -108,7 +109,7 @@
 	for seed := range uint64(2 * paramCombinations) {
 		occurring[fmt.Sprint(paramsOf(seed))] = true
 	}
-	sizes := 2 // fewMachines and manyMachines
+	sizes := 2 // numbers of machines: fewMachines and manyMachines
 	combinations := len(deadlines) * len(spreadChoices) * len(slowStartChoices) * len(descriptorLimits) * sizes
 	testutil.Equal(t, len(occurring), combinations, "combinations of parameters")
 }
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -12,19 +12,19 @@
 	class              workloadClass
 	spread             spreadLimit // of the class
 	client             *client
-	line               string // that the client sends
+	line               string // the request as the client sends it
 	sentAt, due        time.Duration
-	readIteration      int  // in which the process read the last byte of the request; 0: not read
+	readIteration      int  // of the event loop when the process read the last byte of the request; 0: not read
 	connAcceptedLate   bool // wireSlack after the request was sent, its connection was not accepted yet
 	excused            bool // no answer is expected any more
 	onlyClaimed        bool // a client claimed that its container runs, but the request was never submitted
 	falselyClaimed     bool // a client claimed that its container runs while the request was open
 	memory             int  // requested memory
 	answer             answer
-	answerIteration    int // in which the process wrote the first byte of the answer
+	answerIteration    int // of the event loop when the process wrote the first byte of the answer
 	answerMayBeDelayed bool
 	cancelled          bool
-	cancelIteration    int // in which the process read the cancellation
+	cancelIteration    int // of the event loop when the process read the cancellation
 	offers             []*offer
 	placement          *placement // of the accept that the client received
 	placements         []*placement
@@ -46,14 +46,14 @@
 	machine         *machine
 	conn            *machineConn
 	writtenAt       time.Duration // when the process wrote the first byte
-	iteration       int           // in which the process wrote the first byte
+	iteration       int           // of the event loop when the process wrote the first byte
 	remainingMillis int           // time that the process waits for the answer, as stated in the offer
 	mayBeDelayed    bool
 	finishedAt      time.Duration // 0: in flight
 	rejected        bool          // the machine rejected it; the container never ran
 	rejectionRead   bool          // the process has read the rejection
 	incarnation     int           // of the process
-	releasedAt      time.Duration // when the process may stop counting it; 0: it must count it
+	releasedAt      time.Duration // when the process may stop counting the offer; 0: it must count the offer
 	placement       *placement    // nil until the machine accepts
 	acceptRead      bool          // the process has read the accept
 }
@@ -83,7 +83,7 @@
 	knownBy          int // last incarnation of the process that knew that the container runs
 	claimReadBy      int // last incarnation of the process that has read a claim that the container runs
 	claimReadAt      time.Duration
-	endReportExcused bool // no end report is expected, because the process may not know of the end
+	endReportExcused bool // no end report is expected, because the process may never have learned of the end
 }
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
--- a/internal/testbed/platformcheck/releasejudge.go
+++ b/internal/testbed/platformcheck/releasejudge.go
@@ -40,7 +40,7 @@
 }
 
 // claimMayBeDropped reports whether the process may have dropped the claim of the container in favor of false claims.
-// If it has dropped the claim, it learns of the end only if the machine reports it.
+// If so, the process learns of the end only if the machine reports it.
 func (p *placement) claimMayBeDropped() bool {
 	return p.offer.claimMayBeDropped(p.machine.w.incarnations)
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// couldBeNotifiedSince reports whether the process has served the client without interruption since a time.
-func (c *client) couldBeNotifiedSince(endReadAt time.Duration) bool {
-	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= endReadAt && !c.conn.IsEnded() && !c.conn.Congested()
+// couldBeNotifiedSince reports whether the process has served the client without interruption since a moment.
+func (c *client) couldBeNotifiedSince(moment time.Duration) bool {
+	return !c.misbehaved && c.servedAt != 0 && c.servedAt <= moment && !c.conn.IsEnded() && !c.conn.Congested()
 }
--- a/internal/testbed/platformcheck/slowstartjudge.go
+++ b/internal/testbed/platformcheck/slowstartjudge.go
@@ -42,7 +42,7 @@
 	if line.mayBeDelayed() {
 		return
 	}
-	at := line.first.WrittenAt
+	at := line.firstChunk.WrittenAt
 	m.sends = append(m.sends, at)
 	m.w.network.After(slowStartCheckDelay, func() { m.w.checker.checkSlowStart(m, at) })
 }
--- a/internal/testbed/platformcheck/spreadjudge.go
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -68,7 +68,7 @@
 		o.release(o.writtenAt)
 		return
 	}
-	o.release(line.first.WrittenAt)
+	o.release(line.firstChunk.WrittenAt)
 }
 
 // extendUncertainty records that the process may consider an offer lost if it sends the offer to the machine before a
--- a/internal/testbed/trials/interleavings/interleavings.go
+++ b/internal/testbed/trials/interleavings/interleavings.go
@@ -49,9 +49,9 @@
 	began := time.Now()
 	result := t.campaign(t.Fault, t.Events).Play()
 	elapsed := time.Since(began).Seconds()
-	if result.Failed > 0 {
-		seed := result.First.Run.Seed
-		reduced := platformcheck.Reduce(result.First.Run)
+	if result.FailedRuns > 0 {
+		seed := result.FirstFailure.Run.Seed
+		reduced := platformcheck.Reduce(result.FirstFailure.Run)
 		runner.Failf("seed %d: %v", seed, reduced.Violations[0])
 		printReproduction(runner, seed, reduced)
 	}
@@ -73,14 +73,14 @@
 	found := 0
 	for _, fault := range t.Faults {
 		result := t.campaign(fault, eventsPerFault).Play()
-		if result.Failed == 0 {
+		if result.FailedRuns == 0 {
 			runner.Failf("fault %s was not found in %d events", fault, result.Events)
 			continue
 		}
 		found++
-		reduced := platformcheck.Reduce(result.First.Run)
+		reduced := platformcheck.Reduce(result.FirstFailure.Run)
 		runner.Printf("fault %s: found by seed %d, reduced to %d events: %s\n",
-			fault, result.First.Run.Seed, len(reduced.Run.Events), reduced.Violations[0].Rule)
+			fault, result.FirstFailure.Run.Seed, len(reduced.Run.Events), reduced.Violations[0].Rule)
 	}
 	return fmt.Sprintf("%d of %d faults found", found, len(t.Faults))
 }
