--- a/internal/testbed/trials/bgp/machinefailure.go
+++ b/internal/testbed/trials/bgp/machinefailure.go
@@ -56,13 +56,13 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	reset, other := t.peers[0], t.peers[1]
-	before := sessionCount(reset)
-	go reset.Reset()
+	resetPeer, otherPeer := t.peers[0], t.peers[1]
+	before := sessionCount(resetPeer)
+	go resetPeer.Reset()
 	m.Crash()
 	if err := t.waitUntil(
 		"the session is established again",
-		func() bool { return sessionCount(reset) > before && reset.Established() },
+		func() bool { return sessionCount(resetPeer) > before && resetPeer.Established() },
 	); err != nil {
 		return m, 0, err
 	}
@@ -73,7 +73,7 @@
 		}
 		late := time.Since(t.ends.endOf(id))
 		worst = max(worst, late)
-		if p == other && late > withdrawalLimit { // the session of this peer was not reset
+		if p == otherPeer && late > withdrawalLimit { // the session of this peer was not reset
 			t.Failf("peer %d received the withdrawal %v after the machine failed", k, late)
 		}
 	}
--- a/internal/testbed/trials/overload/goodput.go
+++ b/internal/testbed/trials/overload/goodput.go
@@ -14,18 +14,20 @@
 // goodputMeter counts, for each second, the containers that were placed within their latency objective.
 type goodputMeter struct {
 	classes   []scheduler.WorkloadClass
-	began     time.Time
+	startedAt time.Time
 	mu        sync.Mutex
 	perSecond []float64
 }
 
 func newGoodputMeter(c *cluster.Cluster, began time.Time, seconds int) *goodputMeter {
-	return &goodputMeter{classes: c.Config.Policy.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
+	return &goodputMeter{
+		classes: c.Config.Policy.WorkloadClasses, startedAt: began, perSecond: make([]float64, seconds),
+	}
 }
 
 func (g *goodputMeter) recordPlacement(class int, took time.Duration) {
 	objective := time.Duration(g.classes[class].LatencyObjective) * process.Tick
-	if second := int(time.Since(g.began).Seconds()); took <= objective && second < len(g.perSecond) {
+	if second := int(time.Since(g.startedAt).Seconds()); took <= objective && second < len(g.perSecond) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.perSecond[second]++
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -65,9 +65,9 @@
 		began := time.Now()
 		runs := t.simulateDampings(ignoring)
 		for _, d := range dampings {
-			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
-			if d == simulation.Limited && never > 0 {
-				t.Failf("with the limit goodput did not recover in %d runs", never)
+			unrecovered := t.printRecoveries(ignoring, d, runs.recoveries[d])
+			if d == simulation.Limited && unrecovered > 0 {
+				t.Failf("with the limit goodput did not recover in %d runs", unrecovered)
 			}
 		}
 		t.Printf(
@@ -101,11 +101,13 @@
 }
 
 // printRecoveries prints the runs of one damping. It returns the number of runs in which goodput never recovered.
-func (t *Trial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
+func (t *Trial) printRecoveries(
+	ignoring float64, d simulation.Damping, recoveries []simulation.Recovery,
+) (unrecovered int) {
 	var seconds []int
 	for _, r := range recoveries {
 		if r.SecondsToRecover < 0 {
-			never++
+			unrecovered++
 		} else {
 			seconds = append(seconds, r.SecondsToRecover)
 		}
@@ -117,8 +119,8 @@
 	t.Printf("simulated, %d of %d machines restart, %3.0f%% of the clients ignore retry-after, damping %-11s: "+
 		"%s, metastable in %d of %d; %.0f starts within the latency objective lost on average\n",
 		simulatedRestart, simulatedMachines, 100*ignoring, d,
-		when, never, len(recoveries), meanLost(recoveries))
-	return never
+		when, unrecovered, len(recoveries), meanLost(recoveries))
+	return unrecovered
 }
 
 // runSchedulerRestarts restarts all schedulers two seconds after the machines have restarted. One run restores the
--- a/internal/testbed/trials/restart/jobclient.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -20,10 +20,10 @@
 // jobClient continuously creates, changes and deletes jobs. It retries each change until it is acknowledged.
 type jobClient struct {
 	*process.Controller
-	jobs         map[string]acknowledgedJob
-	acknowledged int
-	retries      int
-	err          error // an unexpected reply, which ends the changes
+	jobs                map[string]acknowledgedJob
+	acknowledgedChanges int
+	retries             int
+	err                 error // an unexpected reply, which ends the changes
 }
 
 // jobChange is one request to the API.
@@ -86,7 +86,7 @@
 }
 
 func (c *jobClient) acknowledge(change jobChange, version int64) {
-	c.acknowledged++
+	c.acknowledgedChanges++
 	if change.method == http.MethodDelete {
 		delete(c.jobs, change.spec.ID)
 	} else {
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -74,7 +74,7 @@
 		r.schedulerKills.Load(), r.controllerKills.Load(), length.Seconds(), r.truncatedLogs.Load())
 	t.Printf("jobs: %d changes acknowledged, %d retries; %d jobs with %d containers at the end, %d run; "+
 		"duplicates of at-most-once containers seen: %d\n",
-		r.client.acknowledged, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
+		r.client.acknowledgedChanges, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
 	t.auditKills(&tally, findings)
 	for _, violation := range r.violations {
 		t.Failf("%s", violation)
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -83,14 +83,14 @@
 	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
-	first := time.Since(began)
+	firstPlaced := time.Since(began)
 	spec.ContainerID, spec.IdempotencyKey, spec.WorkloadClass, spec.ClientRetry = "once", "once", atMostOnceClass, true
 	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
 	t.Printf("start of a scheduler, %d containers in its log: listening after %.0f ms, "+
 		"first container placed after %.0f ms, first retried at-most-once container after %.0f ms\n",
-		n, milliseconds(listening), milliseconds(first), milliseconds(time.Since(began)))
+		n, milliseconds(listening), milliseconds(firstPlaced), milliseconds(time.Since(began)))
 	return nil
 }
 
--- a/internal/testbed/trials/why/expect.go
+++ b/internal/testbed/trials/why/expect.go
@@ -19,7 +19,7 @@
 	container string
 	since     time.Time // when the change took effect
 	want      codes     // codes that must be read
-	not       codes     // codes that must not be read; any other code is allowed
+	not       codes     // codes that must not be read; all codes in neither list are allowed
 	condition func(pendingReasons) bool
 }
 
