--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -77,7 +77,7 @@
 	acceptDelivered  bool            // the client received the accept
 	cancelled        bool            // a client has cancelled it, so no end report is expected
 	endRead          bool            // an incarnation of the process has read its end
-	endReads         []time.Duration // when the process read its end
+	endReads         []time.Duration // times at which the process read its end
 	endReadBy        int             // last incarnation of the process that has read its end
 	endReported      bool
 	knownBy          int // last incarnation of the process that knew that the container runs
--- a/internal/testbed/trials/why/drains.go
+++ b/internal/testbed/trials/why/drains.go
@@ -120,7 +120,7 @@
 		// The machine with room may still be excluded because it rejected work while it drained. But the number of
 		// machines reported as full must be right.
 		if err := t.expectMatching(expectation{
-			change: "room", container: pendingContainer, since: since, not: codes{reasonNoMachine},
+			change: "room", container: pendingContainer, since: since, forbidden: codes{reasonNoMachine},
 			condition: func(answer pendingReasons) bool {
 				noRoom, found := answer.find(reasonNoRoom)
 				return !found || int(noRoom.Figures["full"]) == large-t.countFittingMachines(fillerCores, fillerMemory)
--- a/internal/testbed/trials/why/expect.go
+++ b/internal/testbed/trials/why/expect.go
@@ -19,7 +19,7 @@
 	container string
 	since     time.Time // when the change took effect
 	want      codes     // codes that must be read
-	not       codes     // codes that must not be read; all codes in neither list are allowed
+	forbidden codes     // codes that must not be read; codes in neither list are allowed
 	condition func(pendingReasons) bool
 }
 
@@ -32,7 +32,7 @@
 			return false
 		}
 	}
-	for _, code := range e.not {
+	for _, code := range e.forbidden {
 		if read[code] {
 			return false
 		}
@@ -40,9 +40,11 @@
 	return true
 }
 
-// expect waits until the client reads all codes of want and none of not.
-func (t *Trial) expect(change, container string, since time.Time, want, not codes) error {
-	return t.expectMatching(expectation{change: change, container: container, since: since, want: want, not: not})
+// expect waits until the client reads all codes of want and none of forbidden.
+func (t *Trial) expect(change, container string, since time.Time, want, forbidden codes) error {
+	return t.expectMatching(expectation{
+		change: change, container: container, since: since, want: want, forbidden: forbidden,
+	})
 }
 
 // expectMatching waits until the reasons read meet an expectation. It records the delay, and a failed check if the
@@ -65,7 +67,8 @@
 			return nil
 		case took > 5*reasonLimit:
 			t.Failf("%s: read codes [%s], want [%s] and none of [%s]", e.change,
-				strings.Join(slices.Sorted(maps.Keys(read)), " "), strings.Join(e.want, " "), strings.Join(e.not, " "))
+				strings.Join(slices.Sorted(maps.Keys(read)), " "), strings.Join(e.want, " "),
+				strings.Join(e.forbidden, " "))
 			t.recordDelay(took.Milliseconds())
 			return nil
 		}
