--- a/internal/testbed/trials/overload/sockets.go
+++ b/internal/testbed/trials/overload/sockets.go
@@ -19,8 +19,8 @@
 	socketDownFor   = 1500 * time.Millisecond
 )
 
-// runSockets runs the restart with real schedulers. No rule may be broken, and no machine in
-// slow start may be overloaded.
+// runSockets runs the restart with real schedulers. No rule may be broken, and no machine in slow start may
+// be overloaded.
 func (t *Trial) runSockets(d simulation.Damping, run int) (simulation.Recovery, error) {
 	s, seed := t.setup.Scenario, uint64(run)
 	s.Schedulers = t.Schedulers
