--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -48,7 +48,7 @@
 
 func (c *machineConn) close() { c.closeAt(c.machine.w.now()) }
 
-// closeAt records that the connection ended at a time. The offers on it are finished since then.
+// closeAt records that the connection ended at a time. The offers on it are finished from that time.
 func (c *machineConn) closeAt(moment time.Duration) {
 	c.open = false
 	c.machine.conns = slices.DeleteFunc(c.machine.conns, func(other *machineConn) bool { return other == c })
@@ -63,7 +63,8 @@
 // finish records that the offer is no longer in flight.
 func (o *offer) finish() { o.finishAt(o.machine.w.now()) }
 
-// finishAt records that the offer has not been in flight since a time. A partitioned machine learns of that time late.
+// finishAt records the time at which the offer stopped being in flight. A partitioned machine records it late, so an
+// earlier time replaces a later one.
 func (o *offer) finishAt(moment time.Duration) {
 	if o.finishedAt == 0 || moment < o.finishedAt {
 		o.finishedAt = moment
@@ -118,7 +119,7 @@
 	}
 	o := &offer{
 		request: r, machine: m, conn: c, remainingMillis: left, incarnation: m.w.incarnations,
-		writtenAt: line.first.WrittenAt, iteration: line.first.Iteration, mayBeDelayed: line.mayBeDelayed(),
+		writtenAt: line.firstChunk.WrittenAt, iteration: line.firstChunk.Iteration, mayBeDelayed: line.mayBeDelayed(),
 	}
 	m.w.checker.recordOffer(o)
 	if !c.open {
@@ -133,7 +134,7 @@
 func (c *machineConn) handleEnd(msg *jsonlines.Message, line receivedLine) {
 	for _, o := range c.offers {
 		if o.request.id == msg.RequestID {
-			o.finishAt(line.first.WrittenAt)
+			o.finishAt(line.firstChunk.WrittenAt)
 			o.releaseBy(line)
 		}
 	}
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -42,7 +42,7 @@
 	woken     bool
 	killed    bool
 	iteration int
-	stall     time.Duration // time for which the process is still to be stalled
+	stallLeft time.Duration // remaining time for which the process is suspended
 }
 
 // NewKernel returns a kernel for a process on the network.
@@ -52,7 +52,7 @@
 func (k *Kernel) Kill() { k.killed = true }
 
 // Stall suspends the process for a time from now on. It is called while the process waits.
-func (k *Kernel) Stall(span time.Duration) { k.stall += span }
+func (k *Kernel) Stall(span time.Duration) { k.stallLeft += span }
 
 // Iteration returns the number of calls of Wait so far.
 func (k *Kernel) Iteration() int { return k.iteration }
@@ -150,15 +150,15 @@
 // runPeers runs the callbacks that are due, and those that become due while the process is stalled.
 func (k *Kernel) runPeers() {
 	k.network.runDue()
-	for k.stall > 0 {
-		span := k.stall
-		k.stall = 0
+	for k.stallLeft > 0 {
+		span := k.stallLeft
+		k.stallLeft = 0
 		k.network.RunFor(span)
 	}
 }
 
-// collectReady fills events with the ready descriptors and returns their number. Their order is random, as epoll
-// guarantees none.
+// collectReady fills events with the ready descriptors and returns their number. The order of the descriptors is
+// random, as epoll guarantees no order.
 func (k *Kernel) collectReady(events []unix.EpollEvent) int {
 	found := events[:0:len(events)]
 	if k.woken {
@@ -168,8 +168,8 @@
 		if s == nil || !s.watched || len(found) == cap(found) {
 			continue
 		}
-		if happened := s.events() & (s.watchedEvents | unix.EPOLLERR | unix.EPOLLHUP); happened != 0 {
-			found = append(found, unix.EpollEvent{Fd: int32(s.fd), Events: happened})
+		if pending := s.events() & (s.watchedEvents | unix.EPOLLERR | unix.EPOLLHUP); pending != 0 {
+			found = append(found, unix.EpollEvent{Fd: int32(s.fd), Events: pending})
 		}
 	}
 	k.network.random.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -33,11 +33,11 @@
 
 // simulatedRuns collects the results of the runs with one share of clients that ignore retry-after.
 type simulatedRuns struct {
-	mu         sync.Mutex
-	recoveries map[simulation.Damping][]simulation.Recovery
-	actions    int
-	scheduled  int // retries at the time that the limiter set
-	admitted   int // scheduled retries that the limiter admitted
+	mu               sync.Mutex
+	recoveries       map[simulation.Damping][]simulation.Recovery
+	actions          int
+	scheduledRetries int // retries at the time that the limiter set
+	admittedRetries  int // scheduled retries that the limiter admitted
 }
 
 func (r *simulatedRuns) add(s *simulation.Simulation) {
@@ -46,8 +46,8 @@
 	recovery := simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt)
 	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], recovery)
 	r.actions += s.Actions
-	r.scheduled += s.ScheduledRetries
-	r.admitted += s.AdmittedRetries
+	r.scheduledRetries += s.ScheduledRetries
+	r.admittedRetries += s.AdmittedRetries
 }
 
 func (r *simulatedRuns) meanLost(d simulation.Damping) float64 { return meanLost(r.recoveries[d]) }
@@ -65,15 +65,15 @@
 		began := time.Now()
 		runs := t.simulateDampings(ignoring)
 		for _, d := range dampings {
-			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
-			if d == simulation.Limited && never > 0 {
-				t.Failf("with the limit goodput did not recover in %d runs", never)
+			unrecovered := t.printRecoveries(ignoring, d, runs.recoveries[d])
+			if d == simulation.Limited && unrecovered > 0 {
+				t.Failf("with the limit goodput did not recover in %d runs", unrecovered)
 			}
 		}
 		t.Printf(
 			"simulated: %d actions in %.1f s; %d retries at the scheduled time, %.0f%% of them admitted\n",
 			runs.actions, time.Since(began).Seconds(),
-			runs.scheduled, 100*float64(runs.admitted)/float64(max(1, runs.scheduled)),
+			runs.scheduledRetries, 100*float64(runs.admittedRetries)/float64(max(1, runs.scheduledRetries)),
 		)
 		limited := runs.meanLost(simulation.Limited)
 		if least := min(runs.meanLost(simulation.NoDamping), runs.meanLost(simulation.Exponential)); limited >= least {
@@ -101,11 +101,13 @@
 }
 
 // printRecoveries prints the runs of one damping. It returns the number of runs in which goodput never recovered.
-func (t *Trial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
+func (t *Trial) printRecoveries(
+	ignoring float64, d simulation.Damping, recoveries []simulation.Recovery,
+) (unrecovered int) {
 	var seconds []int
 	for _, r := range recoveries {
 		if r.SecondsToRecover < 0 {
-			never++
+			unrecovered++
 		} else {
 			seconds = append(seconds, r.SecondsToRecover)
 		}
@@ -117,8 +119,8 @@
 	t.Printf("simulated, %d of %d machines restart, %3.0f%% of the clients ignore retry-after, damping %-11s: "+
 		"%s, metastable in %d of %d; %.0f starts within the latency objective lost on average\n",
 		simulatedRestart, simulatedMachines, 100*ignoring, d,
-		when, never, len(recoveries), meanLost(recoveries))
-	return never
+		when, unrecovered, len(recoveries), meanLost(recoveries))
+	return unrecovered
 }
 
 // runSchedulerRestarts restarts all schedulers two seconds after the machines have restarted. One run restores the
